--- a/coord/health/answer.go
+++ b/coord/health/answer.go
@@ -9,18 +9,18 @@
 )
 
 // answer returns the verdict that answers one evidence of an instance.
-func (j *Judge) answer(now time.Time, to fleet.Ref, sequence uint64) *Verdict {
-	j.number++
-	j.loans[to].sent(now, j.number)
-	v := &Verdict{Sequence: sequence, Number: j.number}
-	removed := j.issue(now)
-	carrier, ok := j.carriers[to]
+func (ev *Evaluator) decisionFor(now time.Time, to fleet.Ref, sequence uint64) *Decision {
+	ev.number++
+	ev.voters[to].recordDecision(now, ev.number)
+	v := &Decision{Sequence: sequence, Number: ev.number}
+	removed := ev.selectRemovals(now)
+	carrier, ok := ev.carriers[to]
 	if !ok {
 		return v
 	}
-	for _, t := range removed {
-		if j.outFor(t, j.zoneOf[carrier]) {
-			v.Removals = append(v.Removals, j.removalFor(now, t, carrier))
+	for _, ep := range removed {
+		if ev.outForZone(ep, ev.zoneOf[carrier]) {
+			v.Removals = append(v.Removals, ev.removalFor(now, ep, carrier))
 		}
 	}
 	return v
@@ -28,35 +28,35 @@
 
 // issue names the removed endpoints that the budget lets the verdicts of this moment name.
 // It returns all removed ones: first those named, the worst first.
-func (j *Judge) issue(now time.Time) []*tracked {
-	j.ledger.expire(now)
-	removed := j.removed()
+func (ev *Evaluator) selectRemovals(now time.Time) []*endpointState {
+	ev.ledger.expire(now)
+	removed := ev.removedEndpoints()
 	if len(removed) == 0 {
-		j.ledger.last = nil
+		ev.ledger.last = nil
 		return nil
 	}
-	allowance, _ := j.Budget(now)
-	issue := j.ledger.begin(allowance)
-	for _, t := range removed {
-		t.removal.atFloor = !issue.add(t.key, t.readySlots(), j.zonesOf(t))
+	allowance, _ := ev.Budget(now)
+	reservation := ev.ledger.begin(allowance)
+	for _, ep := range removed {
+		ep.removal.atFloor = !reservation.add(ep.key, ep.readySlots(), ev.removalZones(ep))
 	}
-	issue.end(now, j.cfg.spentFor())
-	slices.SortStableFunc(removed, func(a, b *tracked) int {
-		return cmp.Compare(order(a.removal.atFloor), order(b.removal.atFloor))
+	reservation.commit(now, ev.cfg.chargeDuration())
+	slices.SortStableFunc(removed, func(a, b *endpointState) int {
+		return cmp.Compare(sortRank(a.removal.atFloor), sortRank(b.removal.atFloor))
 	})
 	return removed
 }
 
 // removed returns the removed endpoints: those that the last verdict named first, then the worst first.
-func (j *Judge) removed() []*tracked {
-	var removed []*tracked
-	for _, t := range j.endpoints {
-		if t.removed() {
-			removed = append(removed, t)
+func (ev *Evaluator) removedEndpoints() []*endpointState {
+	var removed []*endpointState
+	for _, ep := range ev.endpoints {
+		if ep.removed() {
+			removed = append(removed, ep)
 		}
 	}
-	slices.SortStableFunc(removed, func(a, b *tracked) int {
-		if c := cmp.Compare(order(!j.namedLast(a)), order(!j.namedLast(b))); c != 0 {
+	slices.SortStableFunc(removed, func(a, b *endpointState) int {
+		if c := cmp.Compare(sortRank(!ev.inLastDecision(a)), sortRank(!ev.inLastDecision(b))); c != 0 {
 			return c
 		}
 		return cmp.Compare(b.removal.score, a.removal.score)
@@ -64,16 +64,16 @@
 	return removed
 }
 
-func (j *Judge) namedLast(t *tracked) bool {
-	for _, named := range j.ledger.last {
-		if _, ok := named[t.key]; ok {
+func (ev *Evaluator) inLastDecision(ep *endpointState) bool {
+	for _, named := range ev.ledger.last {
+		if _, ok := named[ep.key]; ok {
 			return true
 		}
 	}
 	return false
 }
 
-func order(later bool) int {
+func sortRank(later bool) int {
 	if later {
 		return 1
 	}
@@ -81,49 +81,49 @@
 }
 
 // zonesOf returns the zones whose carriers a removal concerns.
-func (j *Judge) zonesOf(t *tracked) []fleet.Zone {
-	if t.removal.zones == nil {
-		return j.zones
+func (ev *Evaluator) removalZones(ep *endpointState) []fleet.Zone {
+	if ep.removal.zones == nil {
+		return ev.zones
 	}
-	return t.removal.zones
+	return ep.removal.zones
 }
 
-func (j *Judge) removalFor(now time.Time, t *tracked, carrier int) Removal {
-	state := t.removal.state
+func (ev *Evaluator) removalFor(now time.Time, ep *endpointState, carrier int) Removal {
+	state := ep.removal.state
 	switch {
-	case t.removal.atFloor:
-		state = StateOpen
-	case state == StateTrial && !j.takesTrials(now, t, carrier):
+	case ep.removal.atFloor:
+		state = StateInService
+	case state == StateTrial && !ev.sendsTrials(now, ep, carrier):
 		state = StateEjected
 	}
 	return Removal{
-		Endpoint: t.key,
+		Endpoint: ep.key,
 		State:    state,
-		Score:    float32(t.removal.score),
-		Limit:    float32(j.operating.Limit),
-		ReturnIn: uint32(max(t.removal.mayReturn.Sub(now), 0).Milliseconds()),
+		Score:    float32(ep.removal.score),
+		Limit:    float32(ev.operating.Limit),
+		ReturnIn: uint32(max(ep.removal.mayReturn.Sub(now), 0).Milliseconds()),
 	}
 }
 
 // Explain returns every endpoint as the judge sees it.
-func (j *Judge) Explain(now time.Time) []EndpointView {
-	views := make([]EndpointView, 0, len(j.endpoints))
-	for _, t := range j.endpoints {
+func (ev *Evaluator) Explain(now time.Time) []EndpointView {
+	views := make([]EndpointView, 0, len(ev.endpoints))
+	for _, ep := range ev.endpoints {
 		v := EndpointView{
-			Endpoint: t.upstream.Endpoint,
-			State:    t.removal.state,
-			Judge:    j.self.Ref,
-			Score:    t.score(),
-			Limit:    j.operating.Limit,
-			AtFloor:  t.removal.atFloor,
+			Endpoint:  ep.upstream.Endpoint,
+			State:     ep.removal.state,
+			Evaluator: ev.self.Ref,
+			Score:     ep.score(),
+			Limit:     ev.operating.Limit,
+			AtFloor:   ep.removal.atFloor,
 		}
-		if t.removed() {
-			v.Score = t.removal.score
-			v.MayReturn = t.removal.mayReturn
-			v.Until = now.Add(j.cfg.Lease)
+		if ep.removed() {
+			v.Score = ep.removal.score
+			v.MayReturn = ep.removal.mayReturn
+			v.Until = now.Add(ev.cfg.Lease)
 		}
 		if v.AtFloor {
-			v.State = StateOpen
+			v.State = StateInService
 		}
 		views = append(views, v)
 	}
--- a/coord/health/api.go
+++ b/coord/health/api.go
@@ -10,7 +10,7 @@
 // Assignment says who carries a service and who judges it, for one generation of the roster.
 type Assignment struct {
 	Generation uint64
-	Judge      fleet.Ref
+	Evaluator  fleet.Ref
 	Carriers   []fleet.Instance
 	// Former holds the carriers of earlier generations on which an instance may still act.
 	Former [][]fleet.Instance
@@ -18,8 +18,8 @@
 
 // Errors of Carrier.Deliver and Judge.Deliver. The message was dropped and counted.
 var (
-	// ErrVerdictDropped says that a verdict is late, replayed or not an answer to this carrier.
-	ErrVerdictDropped = errors.New("verdict dropped")
+	// ErrDecisionDropped says that a verdict is late, replayed or not an answer to this carrier.
+	ErrDecisionDropped = errors.New("verdict dropped")
 	// ErrEvidenceDropped says that evidence is absurd, replayed, of another revision or not from a carrier.
 	ErrEvidenceDropped = errors.New("evidence dropped")
 )
@@ -45,7 +45,7 @@
 type Send struct {
 	To       fleet.Ref
 	Evidence *Evidence
-	Verdict  *Verdict
+	Decision *Decision
 }
 
 // State is how an endpoint stands in one carrier's view.
@@ -53,17 +53,17 @@
 
 // States of an endpoint.
 const (
-	StateOpen    State = iota + 1 // In service.
-	StateEjected                  // Out of service everywhere.
-	StateAvoided                  // Out of reach from this carrier's zone only.
-	StateTrial                    // Ejected, and taking trial requests.
+	StateInService State = iota + 1 // In service.
+	StateEjected                    // Out of service everywhere.
+	StateAvoided                    // Out of reach from this carrier's zone only.
+	StateTrial                      // Ejected, and taking trial requests.
 )
 
 // EndpointView is one endpoint in a carrier's view, with what led to its state.
 type EndpointView struct {
 	Endpoint  fleet.Endpoint `json:"endpoint"`
 	State     State          `json:"state"`
-	Judge     fleet.Ref      `json:"judge"`
+	Evaluator fleet.Ref      `json:"judge"`
 	Score     float64        `json:"score"`      // Of the detector, in nats.
 	Limit     float64        `json:"limit"`      // Score at which it is ejected, in nats.
 	Until     time.Time      `json:"until"`      // When the verdict lapses unless renewed.
--- a/coord/health/badinput_test.go
+++ b/coord/health/badinput_test.go
@@ -34,49 +34,49 @@
 		"endpoint twice":      {carrier, &Evidence{Sequence: 1 << 40, Revision: 1, Reports: []Report{{Endpoint: key, Requests: 1}, {Endpoint: key, Requests: 1}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(1, 3, 3, 0, 10)
-			sends, err := b.judge.Deliver(b.now, c.from, c.evidence)
+			h := newHarness(1, 3, 3, 0, 10)
+			sends, err := h.evaluator.Deliver(h.now, c.from, c.evidence)
 			if !errors.Is(err, ErrEvidenceDropped) || len(sends) != 0 {
 				t.Fatalf("error %v and %d messages, want %v and none", err, len(sends), ErrEvidenceDropped)
 			}
-			if b.judge.Dropped != 1 {
-				t.Fatalf("dropped %d, want 1", b.judge.Dropped)
+			if h.evaluator.Dropped != 1 {
+				t.Fatalf("dropped %d, want 1", h.evaluator.Dropped)
 			}
 		})
 	}
 }
 
 func TestJudgeDropsReplayedEvidence(t *testing.T) {
-	b := newBench(1, 3, 3, 0, 10)
+	h := newHarness(1, 3, 3, 0, 10)
 	e := &Evidence{Sequence: 5, Revision: 1}
-	if _, err := b.judge.Deliver(b.now, b.carriers[0].self.Ref, e); err != nil {
+	if _, err := h.evaluator.Deliver(h.now, h.carriers[0].self.Ref, e); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.judge.Deliver(b.now, b.carriers[0].self.Ref, e); !errors.Is(err, ErrEvidenceDropped) {
+	if _, err := h.evaluator.Deliver(h.now, h.carriers[0].self.Ref, e); !errors.Is(err, ErrEvidenceDropped) {
 		t.Fatalf("error %v, want %v", err, ErrEvidenceDropped)
 	}
 }
 
 // A judge that slept through its carriers' loans names nothing until it has heard from them again.
 func TestPausedJudgeThatWakesChangesNothing(t *testing.T) {
-	b := newBench(1, 7, 12, 0, 30)
-	b.run(settle, nil)
-	late := b.carriers[0].Tick(b.now.Add(time.Second))
-	b.now = b.now.Add(DefaultConfig().Loan)
-	b.judge.endpoints[2].removal.state = StateEjected
+	h := newHarness(1, 7, 12, 0, 30)
+	h.run(settleTime, nil)
+	late := h.carriers[0].Tick(h.now.Add(time.Second))
+	h.now = h.now.Add(DefaultConfig().VoteLease)
+	h.evaluator.endpoints[2].removal.state = StateEjected
 	for _, s := range late {
-		sends, err := b.judge.Deliver(b.now, b.carriers[0].self.Ref, s.Evidence)
+		sends, err := h.evaluator.Deliver(h.now, h.carriers[0].self.Ref, s.Evidence)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, r := range sends[0].Verdict.Removals {
-			if removes(r.State) {
+		for _, r := range sends[0].Decision.Removals {
+			if isRemoved(r.State) {
 				t.Fatalf("the judge names endpoint %08x", r.Endpoint)
 			}
 		}
 	}
-	if b.out(2) != 0 {
-		t.Fatalf("endpoint 2 is out at %d carriers", b.out(2))
+	if h.outCount(2) != 0 {
+		t.Fatalf("endpoint 2 is out at %d carriers", h.outCount(2))
 	}
 }
 
@@ -93,9 +93,9 @@
 		if cbor.Unmarshal(data, &e) != nil {
 			return
 		}
-		b := newBench(1, 3, 3, 0, 10)
-		_, _ = b.judge.Deliver(b.now, b.carriers[0].self.Ref, &e)
-		if b.anyOut(-1) {
+		h := newHarness(1, 3, 3, 0, 10)
+		_, _ = h.evaluator.Deliver(h.now, h.carriers[0].self.Ref, &e)
+		if h.anyOutExcept(-1) {
 			t.Fatal("one message ejected an endpoint")
 		}
 	})
--- a/coord/health/centre.go
+++ b/coord/health/baseline.go
@@ -7,63 +7,63 @@
 
 // Bounds and steps of the tests. A gain is the log-likelihood ratio of one request, in nats.
 const (
-	minFailureRate   = 0.01 // Healthy failure rate that the test assumes at least.
-	minLogSigma      = 0.35 // Least standard deviation of the logarithm of latency.
-	priorLogSigma    = 0.6
-	minSlowShift     = math.Ln2
-	slowShiftInSigma = 2.0
-	slowSpread       = 0.9   // Least standard deviation of the slowness of a slow endpoint, in nats.
-	slowerThanShift  = 0.5   // Mean slowness of a slow endpoint over the least that counts, in nats.
-	outlierPart      = 0.015 // Of healthy requests: any latency.
-	outlierRange     = 5.0   // Range of those latencies, in nats.
-	maxSlowGain      = 5.0
-	minSlowGain      = -3.0
-	maxResidual      = 2.5 // Nats from the centre.
+	minFailureRate     = 0.01 // Healthy failure rate that the test assumes at least.
+	minLogSigma        = 0.35 // Least standard deviation of the logarithm of latency.
+	priorLogSigma      = 0.6
+	minSlowShift       = math.Ln2
+	slowShiftSigmas    = 2.0
+	minSlowSpread      = 0.9   // Least standard deviation of the slowness of a slow endpoint, in nats.
+	slowMeanAboveShift = 0.5   // Mean slowness of a slow endpoint over the least that counts, in nats.
+	outlierShare       = 0.015 // Of healthy requests: any latency.
+	outlierRange       = 5.0   // Range of those latencies, in nats.
+	maxSlowGain        = 5.0
+	minSlowGain        = -3.0
+	maxResidual        = 2.5 // Nats from the centre.
 )
 
 // failureSteps are the parts of the healthy requests that fail at a sick endpoint, by test.
-var failureSteps = [...]float64{testSomeFail: 0.2, testMostFail: 0.8}
+var extraFailureShares = [...]float64{testSomeFail: 0.2, testMostFail: 0.8}
 
 // minCentreRequests is the number of requests of an endpoint from which its rates count.
-const minCentreRequests = 5
+const minBaselineRequests = 5
 
 // centre is the robust centre of a service's endpoints: what a healthy request looks like.
-type centre struct {
-	failureRate float64
-	logLatency  float64
-	sigma       float64
-	known       bool // logLatency comes from requests.
+type baseline struct {
+	failureRate  float64
+	logLatency   float64
+	sigma        float64
+	latencyKnown bool // logLatency comes from requests.
 }
 
-func defaultCentre() centre {
-	return centre{failureRate: minFailureRate, sigma: priorLogSigma}
+func defaultBaseline() baseline {
+	return baseline{failureRate: minFailureRate, sigma: priorLogSigma}
 }
 
 // failureGains returns the gains of a failed and of an answered request.
-func failureGains(healthy, step float64) (failed, answered float64) {
-	sick := healthy + step*(1-healthy)
-	return math.Log(sick / healthy), math.Log((1 - sick) / (1 - healthy))
+func failureGains(healthy, extraShare float64) (failed, answered float64) {
+	unhealthyRate := healthy + extraShare*(1-healthy)
+	return math.Log(unhealthyRate / healthy), math.Log((1 - unhealthyRate) / (1 - healthy))
 }
 
 // failureDrift returns the expected gain of a request at an endpoint that fails a part of its work.
-func (c centre) failureDrift(failing float64) float64 {
-	failed, answered := failureGains(c.failureRate, failureSteps[testSomeFail])
-	return failing*failed + (1-failing)*answered
+func (c baseline) expectedFailureGain(failureShare float64) float64 {
+	failed, answered := failureGains(c.failureRate, extraFailureShares[testSomeFail])
+	return failureShare*failed + (1-failureShare)*answered
 }
 
 // slowShift returns the slowness that the test looks for, in nats of latency.
-func (c centre) slowShift() float64 {
-	return max(minSlowShift, slowShiftInSigma*c.sigma)
+func (c baseline) slowShift() float64 {
+	return max(minSlowShift, slowShiftSigmas*c.sigma)
 }
 
 // slowGain returns the gain of a request with a residual of the logarithm of its latency.
 // Healthy latencies are lognormal but for a few outliers; those of a slow endpoint lie
 // around slowShift and above, in a broad range.
-func (c centre) slowGain(residual float64) float64 {
-	spread := max(slowSpread, 1.5*c.sigma)
-	slow := normalDensity(residual-c.slowShift()-slowerThanShift, spread)
-	usual := (1-outlierPart)*normalDensity(residual, c.sigma) + outlierPart/outlierRange
-	return min(max(math.Log(slow/usual), minSlowGain), maxSlowGain)
+func (c baseline) slowGain(residual float64) float64 {
+	spread := max(minSlowSpread, 1.5*c.sigma)
+	slowDensity := normalDensity(residual-c.slowShift()-slowMeanAboveShift, spread)
+	healthyDensity := (1-outlierShare)*normalDensity(residual, c.sigma) + outlierShare/outlierRange
+	return min(max(math.Log(slowDensity/healthyDensity), minSlowGain), maxSlowGain)
 }
 
 func normalDensity(distance, sigma float64) float64 {
@@ -71,12 +71,12 @@
 }
 
 // residual returns the logarithm of a bin's latency over the centre.
-func (c centre) residual(bin uint8) float64 {
+func (c baseline) residual(bin uint8) float64 {
 	return min(max(logOfBin(bin)-c.logLatency, -maxResidual), maxResidual)
 }
 
 // rates are slowly moving averages over the requests of one endpoint.
-type rates struct {
+type averages struct {
 	requests    float64 // Weight of failureRate, up to averagedRequests.
 	failureRate float64
 	answers     float64 // Weight of logLatency and variance.
@@ -90,7 +90,7 @@
 // priorRequests weighs the failure rate that an endpoint is taken to have at first.
 const priorRequests = 20
 
-func (r *rates) addRequests(requests, failures float64) {
+func (r *averages) addRequests(requests, failures float64) {
 	if requests == 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 	r.failureRate += weight * (failures/requests - r.failureRate)
 }
 
-func (r *rates) addAnswers(count, logLatency float64) {
+func (r *averages) addAnswers(count, logLatency float64) {
 	r.answers = min(r.answers+count, averagedRequests)
 	weight := count / r.answers
 	distance := logLatency - r.logLatency
@@ -111,24 +111,24 @@
 }
 
 // centreOf returns the centre of several endpoints; fallback stands in for what too few requests tell.
-func centreOf(all []*rates, fallback centre) centre {
-	var failing, latency, variance []float64
+func baselineOf(all []*averages, fallback baseline) baseline {
+	var failureShare, latency, variance []float64
 	for _, r := range all {
-		if r.requests >= minCentreRequests {
-			failing = append(failing, r.failureRate)
+		if r.requests >= minBaselineRequests {
+			failureShare = append(failureShare, r.failureRate)
 		}
-		if r.answers >= minCentreRequests {
+		if r.answers >= minBaselineRequests {
 			latency = append(latency, r.logLatency)
 			variance = append(variance, r.variance)
 		}
 	}
 	c := fallback
-	if len(failing) > 0 {
-		c.failureRate = max(minFailureRate, 2*median(failing))
-		c.failureRate = min(c.failureRate, maxCentreFailureRate)
+	if len(failureShare) > 0 {
+		c.failureRate = max(minFailureRate, 2*median(failureShare))
+		c.failureRate = min(c.failureRate, maxBaselineFailureRate)
 	}
 	if len(latency) > 0 {
-		c.known = true
+		c.latencyKnown = true
 		c.logLatency = median(latency)
 		c.sigma = max(minLogSigma, math.Sqrt(median(variance)+square(deviation(latency, c.logLatency))))
 	}
@@ -136,7 +136,7 @@
 }
 
 // maxCentreFailureRate keeps the test defined when almost everything fails.
-const maxCentreFailureRate = 0.9
+const maxBaselineFailureRate = 0.9
 
 // deviation returns a robust standard deviation around a centre.
 func deviation(values []float64, around float64) float64 {
--- a/coord/health/budget.go
+++ b/coord/health/budget.go
@@ -8,14 +8,14 @@
 // Let the judges of one set of carriers hear disjoint groups. At most one group is
 // larger than half; it gives up what the others could hold together, and the others
 // hold their part rounded down, so the shares add up to at most budget.
-func share(budget, carriers, heard int) int {
+func budgetShare(budget, carriers, votes int) int {
 	if budget <= 0 || carriers <= 0 {
 		return 0
 	}
-	if 2*heard > carriers {
-		return budget - (carriers-heard)*budget/carriers
+	if 2*votes > carriers {
+		return budget - (carriers-votes)*budget/carriers
 	}
-	return heard * budget / carriers
+	return votes * budget / carriers
 }
 
 // readySlots returns the slots of the endpoints that take work.
--- a/coord/health/carrier.go
+++ b/coord/health/carrier.go
@@ -8,7 +8,7 @@
 )
 
 // sentHistory is the number of sent messages whose time a carrier remembers.
-const sentHistory = 64
+const evidenceHistory = 64
 
 // sentEvidence is when and to whom a carrier sent one message.
 type sentEvidence struct {
@@ -18,7 +18,7 @@
 }
 
 // heldVerdict is the newest verdict of one judge.
-type heldVerdict struct {
+type heldDecision struct {
 	sequence uint64
 	until    time.Time
 	received time.Time
@@ -34,18 +34,18 @@
 	upstreams  []fleet.Upstream
 	byKey      map[EndpointKey]int
 
-	lendFrom  time.Time // A loan of an earlier life of this instance may run until then.
-	lentTo    fleet.Ref
-	lentUntil time.Time
+	voteFrom   time.Time // A loan of an earlier life of this instance may run until then.
+	votedFor   fleet.Ref
+	votedUntil time.Time
 
 	sequence uint64
-	echo     uint64 // Of the judge of assignment.
-	sent     [sentHistory]sentEvidence
+	ack      uint64 // Of the judge of assignment.
+	sent     [evidenceHistory]sentEvidence
 	lastSent time.Time
 
-	requests collector
-	trials   collector
-	verdicts map[fleet.Ref]heldVerdict
+	requests  collector
+	trials    collector
+	decisions map[fleet.Ref]heldDecision
 
 	// Dropped counts the verdicts that Deliver refused.
 	Dropped uint64
@@ -54,21 +54,21 @@
 // NewCarrier returns the carrier of one service at an instance.
 func NewCarrier(self fleet.Instance, cfg Config) *Carrier {
 	return &Carrier{
-		self:     self,
-		cfg:      cfg,
-		requests: newCollector(),
-		trials:   newCollector(),
-		verdicts: make(map[fleet.Ref]heldVerdict),
+		self:      self,
+		cfg:       cfg,
+		requests:  newCollector(),
+		trials:    newCollector(),
+		decisions: make(map[fleet.Ref]heldDecision),
 	}
 }
 
 // Configure sets the service's parameters, who judges it, and its endpoints as the platform lists them.
 func (c *Carrier) Configure(now time.Time, p Parameters, a Assignment, upstreams []fleet.Upstream) {
-	if c.lendFrom.IsZero() {
-		c.lendFrom = now.Add(c.cfg.Loan + c.cfg.DriftMargin)
+	if c.voteFrom.IsZero() {
+		c.voteFrom = now.Add(c.cfg.VoteLease + c.cfg.DriftMargin)
 	}
-	if a.Judge != c.assignment.Judge {
-		c.echo = 0
+	if a.Evaluator != c.assignment.Evaluator {
+		c.ack = 0
 	}
 	c.params = p
 	c.assignment = a
@@ -94,15 +94,15 @@
 
 // Tick returns the evidence that is due.
 func (c *Carrier) Tick(now time.Time) []Send {
-	c.dropLapsed(now)
-	to := c.assignment.Judge
+	c.dropExpired(now)
+	to := c.assignment.Evaluator
 	if to.IsZero() || !c.due(now) {
 		return nil
 	}
 	e := &Evidence{
-		Sequence: c.next(now, to),
-		Echo:     c.echo,
-		Lent:     c.lend(now, to),
+		Sequence: c.recordSend(now, to),
+		Ack:      c.ack,
+		Vote:     c.vote(now, to),
 		Revision: c.params.Revision,
 		Reports:  c.requests.take(),
 		Trials:   c.trials.take(),
@@ -111,14 +111,14 @@
 }
 
 func (c *Carrier) due(now time.Time) bool {
-	return c.lastSent.IsZero() || now.Sub(c.lastSent) >= c.wait()
+	return c.lastSent.IsZero() || now.Sub(c.lastSent) >= c.sendInterval()
 }
 
 // wait returns the time between two messages for what there is to report.
-func (c *Carrier) wait() time.Duration {
+func (c *Carrier) sendInterval() time.Duration {
 	switch {
 	case c.requests.failed:
-		return c.cfg.Urgent
+		return c.cfg.UrgentInterval
 	case !c.requests.empty() || !c.trials.empty():
 		return c.cfg.Interval
 	default:
@@ -126,29 +126,29 @@
 	}
 }
 
-func (c *Carrier) next(now time.Time, to fleet.Ref) uint64 {
+func (c *Carrier) recordSend(now time.Time, to fleet.Ref) uint64 {
 	c.sequence++
 	c.lastSent = now
-	c.sent[c.sequence%sentHistory] = sentEvidence{sequence: c.sequence, to: to, at: now}
+	c.sent[c.sequence%evidenceHistory] = sentEvidence{sequence: c.sequence, to: to, at: now}
 	return c.sequence
 }
 
 // lend lends the carrier to a judge unless another one may still rely on it.
-func (c *Carrier) lend(now time.Time, to fleet.Ref) bool {
-	if now.Before(c.lendFrom) {
+func (c *Carrier) vote(now time.Time, to fleet.Ref) bool {
+	if now.Before(c.voteFrom) {
 		return false
 	}
-	if c.lentTo != to && now.Before(c.lentUntil) {
+	if c.votedFor != to && now.Before(c.votedUntil) {
 		return false
 	}
-	c.lentTo = to
-	c.lentUntil = now.Add(c.cfg.Loan)
+	c.votedFor = to
+	c.votedUntil = now.Add(c.cfg.VoteLease)
 	return true
 }
 
 // Deliver takes a verdict. It returns ErrVerdictDropped.
-func (c *Carrier) Deliver(now time.Time, from fleet.Ref, v *Verdict) error {
-	sent := c.sent[v.Sequence%sentHistory]
+func (c *Carrier) Deliver(now time.Time, from fleet.Ref, v *Decision) error {
+	sent := c.sent[v.Sequence%evidenceHistory]
 	if v.Sequence == 0 || sent.sequence != v.Sequence || sent.to != from {
 		return c.drop(from, v, "it answers nothing that was sent there lately")
 	}
@@ -156,25 +156,25 @@
 	if !now.Before(until) {
 		return c.drop(from, v, "its lease has lapsed")
 	}
-	if held, ok := c.verdicts[from]; ok && held.sequence >= v.Sequence {
+	if held, ok := c.decisions[from]; ok && held.sequence >= v.Sequence {
 		return c.drop(from, v, fmt.Sprintf("verdict %d is newer", held.sequence))
 	}
-	c.verdicts[from] = heldVerdict{sequence: v.Sequence, until: until, received: now, removals: v.Removals}
-	if from == c.assignment.Judge {
-		c.echo = v.Number
+	c.decisions[from] = heldDecision{sequence: v.Sequence, until: until, received: now, removals: v.Removals}
+	if from == c.assignment.Evaluator {
+		c.ack = v.Number
 	}
 	return nil
 }
 
-func (c *Carrier) drop(from fleet.Ref, v *Verdict, reason string) error {
+func (c *Carrier) drop(from fleet.Ref, v *Decision, reason string) error {
 	c.Dropped++
-	return fmt.Errorf("%w: sequence %d from %s for service %q: %s", ErrVerdictDropped, v.Sequence, from, c.params.Service, reason)
+	return fmt.Errorf("%w: sequence %d from %s for service %q: %s", ErrDecisionDropped, v.Sequence, from, c.params.Service, reason)
 }
 
-func (c *Carrier) dropLapsed(now time.Time) {
-	for judge, held := range c.verdicts {
+func (c *Carrier) dropExpired(now time.Time) {
+	for evaluator, held := range c.decisions {
 		if !now.Before(held.until) {
-			delete(c.verdicts, judge)
+			delete(c.decisions, evaluator)
 		}
 	}
 }
--- a/coord/health/carrier_test.go
+++ b/coord/health/carrier_test.go
@@ -14,19 +14,19 @@
 	second = fleet.Ref{ID: "j2", Incarnation: 1}
 )
 
-func newTestCarrier(now time.Time, judge fleet.Ref) *Carrier {
+func newTestCarrier(now time.Time, evaluator fleet.Ref) *Carrier {
 	c := NewCarrier(self, DefaultConfig())
-	configure(c, now, judge)
+	configure(c, now, evaluator)
 	return c
 }
 
-func configure(c *Carrier, now time.Time, judge fleet.Ref) {
+func configure(c *Carrier, now time.Time, evaluator fleet.Ref) {
 	upstreams := []fleet.Upstream{
 		{Endpoint: endpointName(0), Slots: 3, State: fleet.UpstreamReady},
 		{Endpoint: endpointName(1), Slots: 3, State: fleet.UpstreamReady},
 	}
 	p := Parameters{Service: "s", Revision: 1, FloorSlots: 3}
-	c.Configure(now, p, Assignment{Judge: judge, Carriers: []fleet.Instance{self}}, upstreams)
+	c.Configure(now, p, Assignment{Evaluator: evaluator, Carriers: []fleet.Instance{self}}, upstreams)
 }
 
 func send(t *testing.T, c *Carrier, now time.Time) *Evidence {
@@ -38,8 +38,8 @@
 	return sends[0].Evidence
 }
 
-func eject(sequence uint64, endpoints ...int) *Verdict {
-	v := &Verdict{Sequence: sequence, Number: 1}
+func eject(sequence uint64, endpoints ...int) *Decision {
+	v := &Decision{Sequence: sequence, Number: 1}
 	for _, e := range endpoints {
 		v.Removals = append(v.Removals, Removal{Endpoint: KeyOf(endpointName(e)), State: StateEjected})
 	}
@@ -50,22 +50,22 @@
 	cfg := DefaultConfig()
 	now := time.Unix(1000, 0)
 	c := newTestCarrier(now, first)
-	if send(t, c, now).Lent {
+	if send(t, c, now).Vote {
 		t.Fatal("a new life lends itself while a loan of the life before may run")
 	}
-	now = now.Add(cfg.Loan + cfg.DriftMargin)
-	if !send(t, c, now).Lent {
+	now = now.Add(cfg.VoteLease + cfg.DriftMargin)
+	if !send(t, c, now).Vote {
 		t.Fatal("the carrier does not lend itself to its judge")
 	}
 	configure(c, now, second)
-	for _, wait := range []time.Duration{cfg.Loan / 2, cfg.Loan/2 - time.Millisecond} {
+	for _, wait := range []time.Duration{cfg.VoteLease / 2, cfg.VoteLease/2 - time.Millisecond} {
 		now = now.Add(wait)
-		if send(t, c, now).Lent {
+		if send(t, c, now).Vote {
 			t.Fatalf("the carrier is lent to two judges %v after the first loan", wait)
 		}
 	}
 	now = now.Add(cfg.KeepAlive)
-	if !send(t, c, now).Lent {
+	if !send(t, c, now).Vote {
 		t.Fatal("the carrier does not lend itself to its new judge")
 	}
 }
@@ -82,7 +82,7 @@
 	if got := c.View(late)[0].State; got != StateEjected {
 		t.Fatalf("state %d, want ejected", got)
 	}
-	if got := c.View(start.Add(cfg.Lease))[0].State; got != StateOpen {
+	if got := c.View(start.Add(cfg.Lease))[0].State; got != StateInService {
 		t.Fatalf("state %d one lease after the evidence, want open", got)
 	}
 }
@@ -106,11 +106,11 @@
 			return c.Deliver(start.Add(cfg.KeepAlive+cfg.Lease), first, eject(two.Sequence, 0))
 		},
 	} {
-		if err := f(); !errors.Is(err, ErrVerdictDropped) {
-			t.Errorf("verdict %s: error %v, want %v", name, err, ErrVerdictDropped)
+		if err := f(); !errors.Is(err, ErrDecisionDropped) {
+			t.Errorf("verdict %s: error %v, want %v", name, err, ErrDecisionDropped)
 		}
 	}
-	if c.Dropped != 5 || c.View(now)[0].State != StateOpen {
+	if c.Dropped != 5 || c.View(now)[0].State != StateInService {
 		t.Fatalf("dropped %d verdicts, want 5; state %d, want open", c.Dropped, c.View(now)[0].State)
 	}
 }
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	views := c.View(now)
-	if views[0].State != StateEjected || views[1].State != StateOpen || !views[1].AtFloor {
+	if views[0].State != StateEjected || views[1].State != StateInService || !views[1].AtFloor {
 		t.Fatalf("views %+v, want the worst ejected and the other held in service by the floor", views)
 	}
 }
--- a/coord/health/carrier_view.go
+++ b/coord/health/carrier_view.go
@@ -13,39 +13,39 @@
 func (c *Carrier) View(now time.Time) []EndpointView {
 	views := make([]EndpointView, len(c.upstreams))
 	for i, u := range c.upstreams {
-		views[i] = EndpointView{Endpoint: u.Endpoint, State: StateOpen}
+		views[i] = EndpointView{Endpoint: u.Endpoint, State: StateInService}
 	}
 	spare := readySlots(c.upstreams) - c.params.FloorSlots
-	for _, judge := range c.judgesByNewest(now) {
-		spare = c.apply(views, judge, spare)
+	for _, evaluator := range c.evaluatorsByNewest(now) {
+		spare = c.applyRemovals(views, evaluator, spare)
 	}
 	return views
 }
 
 // judgesByNewest returns the judges whose verdict is alive, the newest verdict first.
-func (c *Carrier) judgesByNewest(now time.Time) []fleet.Ref {
-	var judges []fleet.Ref
-	for judge, held := range c.verdicts {
+func (c *Carrier) evaluatorsByNewest(now time.Time) []fleet.Ref {
+	var evaluators []fleet.Ref
+	for evaluator, held := range c.decisions {
 		if now.Before(held.until) {
-			judges = append(judges, judge)
+			evaluators = append(evaluators, evaluator)
 		}
 	}
-	slices.SortFunc(judges, func(a, b fleet.Ref) int {
-		return cmp.Compare(c.verdicts[b].sequence, c.verdicts[a].sequence)
+	slices.SortFunc(evaluators, func(a, b fleet.Ref) int {
+		return cmp.Compare(c.decisions[b].sequence, c.decisions[a].sequence)
 	})
-	return judges
+	return evaluators
 }
 
 // apply marks the removals of one judge's verdict while spare slots last, and returns the slots left.
-func (c *Carrier) apply(views []EndpointView, judge fleet.Ref, spare int) int {
-	held := c.verdicts[judge]
+func (c *Carrier) applyRemovals(views []EndpointView, evaluator fleet.Ref, spare int) int {
+	held := c.decisions[evaluator]
 	for _, r := range held.removals {
 		i, ok := c.byKey[r.Endpoint]
-		if !ok || views[i].State != StateOpen {
+		if !ok || views[i].State != StateInService {
 			continue
 		}
 		v := &views[i]
-		v.Judge = judge
+		v.Evaluator = evaluator
 		v.Score = float64(r.Score)
 		v.Limit = float64(r.Limit)
 		v.Until = held.until
@@ -54,7 +54,7 @@
 		if c.upstreams[i].State == fleet.UpstreamReady {
 			cost = c.upstreams[i].Slots
 		}
-		if !removes(r.State) || cost > spare {
+		if !isRemoved(r.State) || cost > spare {
 			v.AtFloor = true
 			continue
 		}
@@ -65,6 +65,6 @@
 }
 
 // removes reports whether a state takes an endpoint out of normal service.
-func removes(s State) bool {
+func isRemoved(s State) bool {
 	return s == StateEjected || s == StateAvoided || s == StateTrial
 }
--- a/coord/health/confirm.go
+++ b/coord/health/confirm.go
@@ -8,13 +8,13 @@
 
 // Comparing an endpoint with its peers over the time in which its score rose.
 const (
-	markedPart    = 0.25 // Of the limit: the score from which that time counts.
-	confirmedPart = 0.5  // Of the limit: the score that must remain against the peers.
-	trimmedPart   = 3    // One in so many peers, the worst ones, is left out.
-	priorWeight   = 2.0  // Requests by which the long-term centre weighs.
-	minPeerSample = 3.0  // Requests of the peers without which nothing is confirmed.
-	minPeerPart   = 0.5  // Least requests of the peers over those of the endpoint.
-	peerGain      = -1.0 // Nats: the most that the peers' requests may speak for the same fault.
+	snapshotShare   = 0.25 // Of the limit: the score from which that time counts.
+	confirmShare    = 0.5  // Of the limit: the score that must remain against the peers.
+	trimDivisor     = 3    // One in so many peers, the worst ones, is left out.
+	priorWeight     = 2.0  // Requests by which the long-term centre weighs.
+	minPeerRequests = 3.0  // Requests of the peers without which nothing is confirmed.
+	minPeerShare    = 0.5  // Least requests of the peers over those of the endpoint.
+	maxPeerGain     = -1.0 // Nats: the most that the peers' requests may speak for the same fault.
 )
 
 // sample is what one peer's requests looked like.
@@ -25,11 +25,11 @@
 }
 
 // pool adds up samples without the worst of them.
-func pool(samples []sample) sample {
+func trimmedSum(samples []sample) sample {
 	slices.SortFunc(samples, func(a, b sample) int {
 		return cmp.Compare(a.sum/a.count, b.sum/b.count)
 	})
-	kept := len(samples) - len(samples)/trimmedPart
+	kept := len(samples) - len(samples)/trimDivisor
 	var total sample
 	for _, s := range samples[:kept] {
 		total.count += s.count
@@ -41,13 +41,13 @@
 
 // enough reports whether the peers' sample is large enough for a comparison with the
 // endpoint's requests, and speaks for health.
-func enough(peers sample, own float64) bool {
-	return peers.count >= max(minPeerSample, minPeerPart*own) && peers.gain <= peerGain
+func comparable(peers sample, own float64) bool {
+	return peers.count >= max(minPeerRequests, minPeerShare*own) && peers.gain <= maxPeerGain
 }
 
 // confirmFailures reports whether an endpoint fails more than its peers did over the same time.
-func confirmFailures(c centre, step float64, own totals, peers []totals, limit float64) bool {
-	failed, answered := failureGains(c.failureRate, step)
+func confirmFailures(c baseline, extraShare float64, own totals, peers []totals, limit float64) bool {
+	failed, answered := failureGains(c.failureRate, extraShare)
 	var samples []sample
 	for _, p := range peers {
 		if p.requests > 0 {
@@ -55,32 +55,32 @@
 			samples = append(samples, sample{count: p.requests, sum: p.failures, gain: gain})
 		}
 	}
-	pooled := pool(samples)
-	if !enough(pooled, own.requests) {
+	pooled := trimmedSum(samples)
+	if !comparable(pooled, own.requests) {
 		return false
 	}
 	peerRate := (pooled.sum + priorWeight*c.failureRate) / (pooled.count + priorWeight)
-	peerRate = min(max(peerRate, c.failureRate), maxCentreFailureRate)
-	failed, answered = failureGains(peerRate, step)
-	return own.failures*failed+(own.requests-own.failures)*answered >= confirmedPart*limit
+	peerRate = min(max(peerRate, c.failureRate), maxBaselineFailureRate)
+	failed, answered = failureGains(peerRate, extraShare)
+	return own.failures*failed+(own.requests-own.failures)*answered >= confirmShare*limit
 }
 
 // confirmSlowness reports whether an endpoint is slower than its peers were over the same time.
-func confirmSlowness(c centre, own totals, peers []totals, limit float64) bool {
+func confirmSlowness(c baseline, own totals, peers []totals, limit float64) bool {
 	var samples []sample
 	for _, p := range peers {
 		if p.answers > 0 {
 			samples = append(samples, sample{count: p.answers, sum: p.residuals, gain: p.slowGain})
 		}
 	}
-	pooled := pool(samples)
-	if own.answers == 0 || !enough(pooled, own.answers) {
+	pooled := trimmedSum(samples)
+	if own.answers == 0 || !comparable(pooled, own.answers) {
 		return false
 	}
 	peerMean := max(pooled.sum/(pooled.count+priorWeight), 0)
 	ownMean := own.residuals/own.answers - peerMean
 	shift := c.slowShift()
-	exact := own.answers * shift / (c.sigma * c.sigma) * (ownMean - shift/2)
+	gain := own.answers * shift / (c.sigma * c.sigma) * (ownMean - shift/2)
 	uncertainty := math.Sqrt(1 + own.answers/pooled.count)
-	return exact/uncertainty >= confirmedPart*limit
+	return gain/uncertainty >= confirmShare*limit
 }
--- a/coord/health/decide.go
+++ b/coord/health/decide.go
@@ -8,119 +8,119 @@
 )
 
 // trafficAge is the time for which a carrier's last request on an endpoint shows that it sends requests there.
-const trafficAge = time.Minute
+const trafficWindow = time.Minute
 
 // observeRequests takes one carrier's report on an endpoint, and reports whether it is in service there.
-func (j *Judge) observeRequests(now time.Time, t *tracked, carrier int, r Report) bool {
-	zone := j.zoneOf[carrier]
-	if !t.ready() {
+func (ev *Evaluator) observeRequests(now time.Time, ep *endpointState, carrier int, r Report) bool {
+	zone := ev.zoneOf[carrier]
+	if !ep.ready() {
 		return false
 	}
-	if j.outFor(t, zone) {
-		j.observeAtFloor(now, t, r)
+	if ev.outForZone(ep, zone) {
+		ev.observeAtFloor(now, ep, r)
 		return false
 	}
-	t.seen[carrier] = now
+	ep.lastRequests[carrier] = now
 	for _, s := range [...]int{0, 1 + zone} {
-		t.scopes[s].observe(now, j.centres[s], r, carrier, j.operating.Limit)
-		j.mark(t, s)
+		ep.scopes[s].observe(now, ev.baselines[s], r, carrier, ev.operating.Limit)
+		ev.updateSnapshot(ep, s)
 	}
 	return true
 }
 
 // outFor reports whether an endpoint is out of service for a zone's carriers.
-func (j *Judge) outFor(t *tracked, zone int) bool {
-	if !t.removed() {
+func (ev *Evaluator) outForZone(ep *endpointState, zone int) bool {
+	if !ep.removed() {
 		return false
 	}
-	return t.removal.zones == nil || slices.Contains(t.removal.zones, j.zones[zone])
+	return ep.removal.zones == nil || slices.Contains(ep.removal.zones, ev.zones[zone])
 }
 
 // mark keeps the totals of all endpoints when a score rises over a quarter of the limit.
-func (j *Judge) mark(t *tracked, s int) {
-	for k := range t.scopes[s].tests {
-		test := &t.scopes[s].tests[k]
-		if test.score < markedPart*j.operating.Limit {
-			test.marks = nil
+func (ev *Evaluator) updateSnapshot(ep *endpointState, s int) {
+	for k := range ep.scopes[s].tests {
+		test := &ep.scopes[s].tests[k]
+		if test.score < snapshotShare*ev.operating.Limit {
+			test.snapshot = nil
 			continue
 		}
-		if test.marks == nil {
-			test.marks = j.totals(s)
+		if test.snapshot == nil {
+			test.snapshot = ev.totals(s)
 		}
 	}
 }
 
-func (j *Judge) totals(s int) []totals {
-	all := make([]totals, len(j.endpoints))
-	for i, t := range j.endpoints {
-		all[i] = t.scopes[s].totals
+func (ev *Evaluator) totals(s int) []totals {
+	all := make([]totals, len(ev.endpoints))
+	for i, ep := range ev.endpoints {
+		all[i] = ep.scopes[s].totals
 	}
 	return all
 }
 
 // decide takes an endpoint out of service if the tests say so.
-func (j *Judge) decide(now time.Time, t *tracked, zone int) {
-	if t.removed() && t.removal.zones == nil {
+func (ev *Evaluator) decide(now time.Time, ep *endpointState, zone int) {
+	if ep.removed() && ep.removal.zones == nil {
 		return
 	}
-	if test, sick := j.sick(now, t, 0); sick {
-		if bad, one := j.onlyZone(now, t, test); one {
-			j.avoid(now, t, bad, test)
+	if test, unhealthy := ev.unhealthyTest(now, ep, 0); unhealthy {
+		if only, ok := ev.soleUnhealthyZone(now, ep, test); ok {
+			ev.avoid(now, ep, only, test)
 			return
 		}
-		j.remove(now, t, nil, causeOf(test), t.scopes[0].tests[test].score)
+		ev.remove(now, ep, nil, causeOf(test), ep.scopes[0].tests[test].score)
 		return
 	}
-	if test, sick := j.sick(now, t, 1+zone); sick {
-		j.avoid(now, t, zone, test)
+	if test, unhealthy := ev.unhealthyTest(now, ep, 1+zone); unhealthy {
+		ev.avoid(now, ep, zone, test)
 	}
 }
 
 // avoid takes an endpoint out of service for one zone, or for all when it is avoided from every other zone.
-func (j *Judge) avoid(now time.Time, t *tracked, zone, test int) {
-	score := max(t.scopes[1+zone].tests[test].score, t.scopes[0].tests[test].score)
-	zones := []fleet.Zone{j.zones[zone]}
-	if t.removed() {
-		zones = append(zones, t.removal.zones...)
+func (ev *Evaluator) avoid(now time.Time, ep *endpointState, zone, test int) {
+	score := max(ep.scopes[1+zone].tests[test].score, ep.scopes[0].tests[test].score)
+	zones := []fleet.Zone{ev.zones[zone]}
+	if ep.removed() {
+		zones = append(zones, ep.removal.zones...)
 	}
-	if len(zones) >= len(j.zones) {
+	if len(zones) >= len(ev.zones) {
 		zones = nil
 	}
-	j.remove(now, t, zones, causeOf(test), score)
+	ev.remove(now, ep, zones, causeOf(test), score)
 }
 
 // agreedPart is the part of the limit that the score must reach without the carrier that
 // contributed most to it.
-const agreedPart = 2.0 / 3
+const agreementShare = 2.0 / 3
 
 // sick returns a test over a scope that has passed the limit, if several carriers agree and the peers are healthier.
-func (j *Judge) sick(now time.Time, t *tracked, s int) (int, bool) {
-	limit := j.operating.Limit
-	for i := range t.scopes[s].tests {
-		test := &t.scopes[s].tests[i]
-		if test.score < limit || test.marks == nil {
+func (ev *Evaluator) unhealthyTest(now time.Time, ep *endpointState, s int) (int, bool) {
+	limit := ev.operating.Limit
+	for i := range ep.scopes[s].tests {
+		test := &ep.scopes[s].tests[i]
+		if test.score < limit || test.snapshot == nil {
 			continue
 		}
-		if j.carriersWithTraffic(now, t, s) > 1 && test.withoutLargest() < agreedPart*limit {
+		if ev.carriersWithTraffic(now, ep, s) > 1 && test.scoreWithoutLargest() < agreementShare*limit {
 			continue
 		}
-		if j.confirm(t, s, i) {
+		if ev.confirm(ep, s, i) {
 			return i, true
 		}
-		test.scale(markedPart * limit / test.score)
-		test.marks = nil
+		test.scale(snapshotShare * limit / test.score)
+		test.snapshot = nil
 	}
 	return 0, false
 }
 
 // carriersWithTraffic counts the carriers of a scope that send requests to an endpoint.
-func (j *Judge) carriersWithTraffic(now time.Time, t *tracked, s int) int {
+func (ev *Evaluator) carriersWithTraffic(now time.Time, ep *endpointState, s int) int {
 	count := 0
-	for carrier, at := range t.seen {
-		if s > 0 && j.zoneOf[carrier] != s-1 {
+	for carrier, at := range ep.lastRequests {
+		if s > 0 && ev.zoneOf[carrier] != s-1 {
 			continue
 		}
-		if !at.IsZero() && now.Sub(at) < trafficAge {
+		if !at.IsZero() && now.Sub(at) < trafficWindow {
 			count++
 		}
 	}
@@ -128,46 +128,46 @@
 }
 
 // confirm compares an endpoint with its peers over the time since its score rose.
-func (j *Judge) confirm(t *tracked, s, test int) bool {
-	marks := t.scopes[s].tests[test].marks
+func (ev *Evaluator) confirm(ep *endpointState, s, test int) bool {
+	snapshot := ep.scopes[s].tests[test].snapshot
 	var own totals
 	var peers []totals
-	for i, other := range j.endpoints {
-		since := other.scopes[s].totals.minus(marks[i])
+	for i, other := range ev.endpoints {
+		since := other.scopes[s].totals.minus(snapshot[i])
 		switch {
-		case other == t:
+		case other == ep:
 			own = since
 		case other.ready() && !other.removed():
 			peers = append(peers, since)
 		}
 	}
 	if test == testSlow {
-		return confirmSlowness(j.centres[s], own, peers, j.operating.Limit)
+		return confirmSlowness(ev.baselines[s], own, peers, ev.operating.Limit)
 	}
-	return confirmFailures(j.centres[s], failureSteps[test], own, peers, j.operating.Limit)
+	return confirmFailures(ev.baselines[s], extraFailureShares[test], own, peers, ev.operating.Limit)
 }
 
 // onlyZone returns the zone whose carriers alone find an endpoint sick, if others send requests there in health.
-func (j *Judge) onlyZone(now time.Time, t *tracked, test int) (int, bool) {
-	parts := make([]float64, len(j.zones))
-	for carrier, part := range t.scopes[0].tests[test].by {
-		parts[j.zoneOf[carrier]] += part
-	}
-	bad := 0
-	for zone := range parts {
-		if parts[zone] > parts[bad] {
-			bad = zone
+func (ev *Evaluator) soleUnhealthyZone(now time.Time, ep *endpointState, test int) (int, bool) {
+	byZone := make([]float64, len(ev.zones))
+	for carrier, part := range ep.scopes[0].tests[test].byCarrier {
+		byZone[ev.zoneOf[carrier]] += part
+	}
+	worst := 0
+	for zone := range byZone {
+		if byZone[zone] > byZone[worst] {
+			worst = zone
 		}
 	}
 	others := 0
-	for zone := range parts {
-		if zone == bad || j.carriersWithTraffic(now, t, 1+zone) == 0 {
+	for zone := range byZone {
+		if zone == worst || ev.carriersWithTraffic(now, ep, 1+zone) == 0 {
 			continue
 		}
 		others++
-		if parts[zone] > 0 {
+		if byZone[zone] > 0 {
 			return 0, false
 		}
 	}
-	return bad, others > 0
+	return worst, others > 0
 }
--- a/coord/health/detect_test.go
+++ b/coord/health/detect_test.go
@@ -9,26 +9,26 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-const settle = 10 * time.Second
+const settleTime = 10 * time.Second
 
 func TestSickEndpointIsEjected(t *testing.T) {
-	for name, sick := range map[string]behaviour{
+	for name, unhealthy := range map[string]behaviour{
 		"failing 10%": {failing: 0.1, slow: 1}, "failing 30%": {failing: 0.3, slow: 1}, "failing 100%": {failing: 1, slow: 1},
 		"slow 3x": {slow: 3}, "slow 10x": {slow: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(1, 7, 12, 12, 30)
-			b.run(settle, nil)
-			b.behave = func(e int, _ fleet.Zone) behaviour {
+			h := newHarness(1, 7, 12, 12, 30)
+			h.run(settleTime, nil)
+			h.behave = func(e int, _ fleet.Zone) behaviour {
 				if e == 2 {
-					return sick
+					return unhealthy
 				}
 				return healthy
 			}
-			took := b.run(time.Minute, func() bool { return b.out(2) == 12 })
+			took := h.run(time.Minute, func() bool { return h.outCount(2) == 12 })
 			t.Logf("out of service after %v", took)
-			if b.out(2) != 12 || b.anyOut(2) {
-				t.Fatalf("endpoint 2 is out at %d of 12 carriers; another is out: %v", b.out(2), b.anyOut(2))
+			if h.outCount(2) != 12 || h.anyOutExcept(2) {
+				t.Fatalf("endpoint 2 is out at %d of 12 carriers; another is out: %v", h.outCount(2), h.anyOutExcept(2))
 			}
 		})
 	}
@@ -36,22 +36,22 @@
 
 func TestCommonFaultEjectsNobody(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		fault := behaviour{
+		degraded := behaviour{
 			failing: rapid.SampledFrom([]float64{0.002, 0.1, 0.3, 1}).Draw(rt, "failing"),
 			slow:    rapid.SampledFrom([]float64{1, 3, 10}).Draw(rt, "slow"),
 		}
-		only := rapid.SampledFrom([]fleet.Zone{"", "", "a", "b"}).Draw(rt, "only zone")
-		b := newBench(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(2, 12).Draw(rt, "endpoints"), rapid.IntRange(1, 12).Draw(rt, "carriers"), 0, 20)
-		b.run(settle, nil)
-		b.behave = func(_ int, z fleet.Zone) behaviour {
-			if only != "" && z != only {
+		onlyZone := rapid.SampledFrom([]fleet.Zone{"", "", "a", "b"}).Draw(rt, "only zone")
+		h := newHarness(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(2, 12).Draw(rt, "endpoints"), rapid.IntRange(1, 12).Draw(rt, "carriers"), 0, 20)
+		h.run(settleTime, nil)
+		h.behave = func(_ int, z fleet.Zone) behaviour {
+			if onlyZone != "" && z != onlyZone {
 				return healthy
 			}
-			return fault
+			return degraded
 		}
-		b.run(settle, func() bool { return b.anyOut(-1) })
-		if b.anyOut(-1) {
-			rt.Fatalf("a fault of all endpoints %+v ejected one", fault)
+		h.run(settleTime, func() bool { return h.anyOutExcept(-1) })
+		if h.anyOutExcept(-1) {
+			rt.Fatalf("a fault of all endpoints %+v ejected one", degraded)
 		}
 	})
 }
@@ -59,76 +59,76 @@
 func TestOneLyingCarrierEjectsNobody(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		carriers := rapid.IntRange(2, 12).Draw(rt, "carriers")
-		liar := rapid.IntRange(0, carriers-1).Draw(rt, "liar")
+		falseReporter := rapid.IntRange(0, carriers-1).Draw(rt, "liar")
 		target := rapid.IntRange(0, 6).Draw(rt, "endpoint")
 		slow := rapid.Bool().Draw(rt, "slow")
 		count := rapid.Uint32Range(1, 200).Draw(rt, "count")
-		b := newBench(rapid.Uint64().Draw(rt, "seed"), 7, carriers, 0, 20)
-		b.run(settle, nil)
-		b.tamper = func(i int, e *Evidence) {
-			if i != liar {
+		h := newHarness(rapid.Uint64().Draw(rt, "seed"), 7, carriers, 0, 20)
+		h.run(settleTime, nil)
+		h.tamper = func(i int, e *Evidence) {
+			if i != falseReporter {
 				return
 			}
-			lie := Report{Endpoint: KeyOf(endpointName(target)), Requests: count, Failures: count}
+			falseReport := Report{Endpoint: KeyOf(endpointName(target)), Requests: count, Failures: count}
 			if slow {
-				lie.Failures = 0
-				lie.Latency = []byte{120, uint8(count)}
+				falseReport.Failures = 0
+				falseReport.Latency = []byte{120, uint8(count)}
 			}
-			e.Reports = []Report{lie}
+			e.Reports = []Report{falseReport}
 		}
-		zone := b.carriers[liar].self.Zone
-		alone := 0
-		for _, c := range b.carriers {
+		zone := h.carriers[falseReporter].self.Zone
+		carriersInZone := 0
+		for _, c := range h.carriers {
 			if c.self.Zone == zone {
-				alone++
+				carriersInZone++
 			}
 		}
-		b.run(settle, nil)
-		for i, c := range b.carriers {
-			state := c.View(b.now)[target].State
-			if state != StateOpen && (alone > 1 || c.self.Zone != zone) {
-				rt.Fatalf("carrier %d of %d has the endpoint in state %d because carrier %d lies", i, carriers, state, liar)
+		h.run(settleTime, nil)
+		for i, c := range h.carriers {
+			state := c.View(h.now)[target].State
+			if state != StateInService && (carriersInZone > 1 || c.self.Zone != zone) {
+				rt.Fatalf("carrier %d of %d has the endpoint in state %d because carrier %d lies", i, carriers, state, falseReporter)
 			}
 		}
 	})
 }
 
 func TestZoneThatCannotReachAvoids(t *testing.T) {
-	b := newBench(3, 7, 12, 12, 30)
-	b.run(settle, nil)
-	b.behave = func(e int, z fleet.Zone) behaviour {
+	h := newHarness(3, 7, 12, 12, 30)
+	h.run(settleTime, nil)
+	h.behave = func(e int, z fleet.Zone) behaviour {
 		if e == 2 && z == "b" {
 			return behaviour{failing: 1, slow: 1}
 		}
 		return healthy
 	}
-	b.run(10*time.Second, nil)
-	for _, c := range b.carriers {
-		want := StateOpen
+	h.run(10*time.Second, nil)
+	for _, c := range h.carriers {
+		want := StateInService
 		if c.self.Zone == "b" {
 			want = StateAvoided
 		}
-		if got := c.View(b.now)[2].State; got != want {
+		if got := c.View(h.now)[2].State; got != want {
 			t.Errorf("carrier %s in zone %s: state %d, want %d", c.self.Ref, c.self.Zone, got, want)
 		}
 	}
 }
 
 func TestEndpointReturnsAfterTrialsAndHoldGrows(t *testing.T) {
-	b := newBench(4, 7, 12, 12, 30)
-	sick := true
-	b.behave = func(e int, _ fleet.Zone) behaviour {
-		if e == 2 && sick {
+	h := newHarness(4, 7, 12, 12, 30)
+	unhealthy := true
+	h.behave = func(e int, _ fleet.Zone) behaviour {
+		if e == 2 && unhealthy {
 			return behaviour{failing: 1, slow: 1}
 		}
 		return healthy
 	}
-	b.run(settle, nil)
-	if b.out(2) == 0 {
+	h.run(settleTime, nil)
+	if h.outCount(2) == 0 {
 		t.Fatal("sick endpoint is in service")
 	}
-	held := b.run(10*time.Minute, func() bool {
-		for _, d := range b.judge.Decisions() {
+	held := h.run(10*time.Minute, func() bool {
+		for _, d := range h.evaluator.Transitions() {
 			if d.Action == ActionRelapse && d.Hold >= 40*time.Second {
 				return true
 			}
@@ -138,45 +138,45 @@
 	if held == 10*time.Minute {
 		t.Fatal("hold time did not grow to 40 s")
 	}
-	sick = false
-	b.run(5*time.Minute, func() bool { return b.out(2) == 0 })
-	if b.out(2) != 0 {
+	unhealthy = false
+	h.run(5*time.Minute, func() bool { return h.outCount(2) == 0 })
+	if h.outCount(2) != 0 {
 		t.Fatal("healthy endpoint did not return")
 	}
 }
 
 func TestLosingContactRestoresEndpoints(t *testing.T) {
-	b := newBench(5, 7, 12, 12, 30)
-	b.behave = func(e int, _ fleet.Zone) behaviour {
+	h := newHarness(5, 7, 12, 12, 30)
+	h.behave = func(e int, _ fleet.Zone) behaviour {
 		if e == 2 {
 			return behaviour{failing: 1, slow: 1}
 		}
 		return healthy
 	}
-	b.run(settle, nil)
-	if b.out(2) != 12 {
-		t.Fatalf("sick endpoint is out at %d of 12 carriers", b.out(2))
+	h.run(settleTime, nil)
+	if h.outCount(2) != 12 {
+		t.Fatalf("sick endpoint is out at %d of 12 carriers", h.outCount(2))
 	}
-	b.now = b.now.Add(DefaultConfig().Lease)
-	if b.out(2) != 0 {
-		t.Fatalf("without contact the endpoint is out at %d carriers", b.out(2))
+	h.now = h.now.Add(DefaultConfig().Lease)
+	if h.outCount(2) != 0 {
+		t.Fatalf("without contact the endpoint is out at %d carriers", h.outCount(2))
 	}
 }
 
 func TestFloorHoldsBackTheLeastBad(t *testing.T) {
-	b := newBench(6, 7, 12, 18, 30) // One endpoint of three slots may go.
-	b.behave = func(e int, _ fleet.Zone) behaviour {
+	h := newHarness(6, 7, 12, 18, 30) // One endpoint of three slots may go.
+	h.behave = func(e int, _ fleet.Zone) behaviour {
 		if e == 2 || e == 4 {
 			return behaviour{failing: 1, slow: 1}
 		}
 		return healthy
 	}
-	b.run(settle, nil)
-	if (b.out(2) == 12) == (b.out(4) == 12) {
-		t.Fatalf("endpoints 2 and 4 are out at %d and %d carriers, want one of them at 12", b.out(2), b.out(4))
+	h.run(settleTime, nil)
+	if (h.outCount(2) == 12) == (h.outCount(4) == 12) {
+		t.Fatalf("endpoints 2 and 4 are out at %d and %d carriers, want one of them at 12", h.outCount(2), h.outCount(4))
 	}
 	atFloor := 0
-	for _, v := range b.judge.Explain(b.now) {
+	for _, v := range h.evaluator.Explain(h.now) {
 		if v.AtFloor {
 			atFloor++
 		}
--- a/coord/health/detector.go
+++ b/coord/health/detector.go
@@ -20,7 +20,7 @@
 }
 
 // causes is the number of causes.
-const causes = 2
+const numCauses = 2
 
 // The sequential tests on an endpoint. Two look for failures, since one alternative
 // cannot be near both an endpoint that fails some of its work and one that fails all.
@@ -28,7 +28,7 @@
 	testSomeFail = iota
 	testMostFail
 	testSlow
-	tests
+	numTests
 )
 
 // causeOf returns what a test speaks of.
@@ -60,14 +60,14 @@
 
 // cusum is a cumulative-sum test: the sum of gains since it was last zero.
 type cusum struct {
-	score float64
-	by    []float64 // Part of each carrier in score.
+	score     float64
+	byCarrier []float64 // Part of each carrier in score.
 	// marks hold the totals of every endpoint from the time at which score rose over
 	// a quarter of the limit; nil while it is below.
-	marks []totals
+	snapshot []totals
 	// growth is what the score may still grow by at the time grownAt, if it is bounded.
-	growth  float64
-	grownAt time.Time
+	growthLeft float64
+	growthAt   time.Time
 }
 
 // Bounds of the growth of the slowness test, in limits. Requests that run at the same
@@ -78,31 +78,31 @@
 )
 
 // boundGrowth returns as much of a gain as the score may grow by at this time.
-func (c *cusum) boundGrowth(now time.Time, gain, limit float64) float64 {
-	most := growthBurst * limit
-	if c.grownAt.IsZero() {
-		c.growth = most
+func (c *cusum) limitGrowth(now time.Time, gain, limit float64) float64 {
+	burst := growthBurst * limit
+	if c.growthAt.IsZero() {
+		c.growthLeft = burst
 	} else {
-		c.growth = min(c.growth+now.Sub(c.grownAt).Seconds()*growthPerSecond*limit, most)
+		c.growthLeft = min(c.growthLeft+now.Sub(c.growthAt).Seconds()*growthPerSecond*limit, burst)
 	}
-	c.grownAt = now
+	c.growthAt = now
 	if gain <= 0 {
 		return gain
 	}
-	gain = min(gain, c.growth)
-	c.growth -= gain
+	gain = min(gain, c.growthLeft)
+	c.growthLeft -= gain
 	return gain
 }
 
 func (c *cusum) add(gain float64, carrier int, limit float64) {
 	c.score += gain
-	c.by[carrier] += gain
+	c.byCarrier[carrier] += gain
 	if c.score <= 0 {
 		c.reset()
 		return
 	}
-	if most := scoreCap * limit; c.score > most {
-		c.scale(most / c.score)
+	if highest := scoreCap * limit; c.score > highest {
+		c.scale(highest / c.score)
 	}
 }
 
@@ -111,21 +111,21 @@
 
 func (c *cusum) scale(factor float64) {
 	c.score *= factor
-	for i := range c.by {
-		c.by[i] *= factor
+	for i := range c.byCarrier {
+		c.byCarrier[i] *= factor
 	}
 }
 
 func (c *cusum) reset() {
 	c.score = 0
-	c.marks = nil
-	clear(c.by)
+	c.snapshot = nil
+	clear(c.byCarrier)
 }
 
 // withoutLargest returns the score without the carrier that contributed most to it.
-func (c *cusum) withoutLargest() float64 {
+func (c *cusum) scoreWithoutLargest() float64 {
 	largest := 0.0
-	for _, part := range c.by {
+	for _, part := range c.byCarrier {
 		largest = max(largest, part)
 	}
 	return c.score - largest
@@ -133,27 +133,27 @@
 
 // scope is what a judge knows of one endpoint from all carriers, or from those of one zone.
 type scope struct {
-	rates  rates
-	totals totals
-	tests  [tests]cusum
+	averages averages
+	totals   totals
+	tests    [numTests]cusum
 }
 
 func newScope(carriers int) scope {
 	var s scope
 	for i := range s.tests {
-		s.tests[i].by = make([]float64, carriers)
+		s.tests[i].byCarrier = make([]float64, carriers)
 	}
 	return s
 }
 
 // observe takes one carrier's report into the scope.
-func (s *scope) observe(now time.Time, c centre, r Report, carrier int, limit float64) {
+func (s *scope) observe(now time.Time, c baseline, r Report, carrier int, limit float64) {
 	requests, failures := float64(r.Requests), float64(r.Failures)
-	for test, step := range failureSteps {
-		failed, answered := failureGains(c.failureRate, step)
+	for test, extraShare := range extraFailureShares {
+		failed, answered := failureGains(c.failureRate, extraShare)
 		s.tests[test].add(failures*failed+(requests-failures)*answered, carrier, limit)
 	}
-	s.rates.addRequests(requests, failures)
+	s.averages.addRequests(requests, failures)
 	s.totals.requests += requests
 	s.totals.failures += failures
 	slow := 0.0
@@ -161,14 +161,14 @@
 		count := float64(r.Latency[i+1])
 		residual := c.residual(r.Latency[i])
 		slow += count * c.slowGain(residual)
-		s.rates.addAnswers(count, logOfBin(r.Latency[i]))
+		s.averages.addAnswers(count, logOfBin(r.Latency[i]))
 		s.totals.answers += count
 		s.totals.residuals += count * residual
 	}
 	s.totals.slowGain += slow
-	if c.known {
+	if c.latencyKnown {
 		test := &s.tests[testSlow]
-		test.add(test.boundGrowth(now, slow, limit), carrier, limit)
+		test.add(test.limitGrowth(now, slow, limit), carrier, limit)
 	}
 }
 
--- a/coord/health/bench_test.go
+++ b/coord/health/harness_test.go
@@ -16,10 +16,10 @@
 }
 
 // bench feeds a judge with the evidence of several carriers about made traffic.
-type bench struct {
+type harness struct {
 	random    *rand.Rand
 	now       time.Time
-	judge     *Judge
+	evaluator *Evaluator
 	carriers  []*Carrier
 	upstreams []fleet.Upstream
 	rate      float64 // Requests per second and endpoint.
@@ -27,8 +27,8 @@
 	tamper    func(carrier int, e *Evidence)
 }
 
-func newBench(seed uint64, endpoints, carriers, floor int, rate float64) *bench {
-	b := &bench{
+func newHarness(seed uint64, endpoints, carriers, floor int, rate float64) *harness {
+	h := &harness{
 		random: rand.New(rand.NewPCG(seed, 1)),
 		now:    time.Unix(1_000_000, 0),
 		rate:   rate,
@@ -43,18 +43,18 @@
 		})
 	}
 	for i := range endpoints {
-		b.upstreams = append(b.upstreams, fleet.Upstream{Endpoint: endpointName(i), Slots: 3, State: fleet.UpstreamReady})
+		h.upstreams = append(h.upstreams, fleet.Upstream{Endpoint: endpointName(i), Slots: 3, State: fleet.UpstreamReady})
 	}
 	p := Parameters{Service: "s", Revision: 1, FloorSlots: floor, FalseEjectionsPerEndpointMonth: 0.001, ExpectedRequestsPerSecond: rate * float64(endpoints)}
-	a := Assignment{Generation: 1, Judge: all[0].Ref, Carriers: all}
-	b.judge = NewJudge(all[0], DefaultConfig())
-	b.judge.Configure(b.now, p, a, b.upstreams)
+	a := Assignment{Generation: 1, Evaluator: all[0].Ref, Carriers: all}
+	h.evaluator = NewEvaluator(all[0], DefaultConfig())
+	h.evaluator.Configure(h.now, p, a, h.upstreams)
 	for _, self := range all {
 		c := NewCarrier(self, DefaultConfig())
-		c.Configure(b.now, p, a, b.upstreams)
-		b.carriers = append(b.carriers, c)
+		c.Configure(h.now, p, a, h.upstreams)
+		h.carriers = append(h.carriers, c)
 	}
-	return b
+	return h
 }
 
 var healthy = behaviour{failing: 0.002, slow: 1}
@@ -64,15 +64,15 @@
 }
 
 // run lets time pass in steps, until done says so or d is over, and returns the time that passed.
-func (b *bench) run(d time.Duration, done func() bool) time.Duration {
+func (h *harness) run(d time.Duration, done func() bool) time.Duration {
 	const step = 100 * time.Millisecond
 	for passed := time.Duration(0); passed < d; passed += step {
-		b.now = b.now.Add(step)
-		for i, c := range b.carriers {
-			b.traffic(c, step)
-			b.exchange(i, c)
+		h.now = h.now.Add(step)
+		for i, c := range h.carriers {
+			h.traffic(c, step)
+			h.exchange(i, c)
 		}
-		b.judge.Tick(b.now)
+		h.evaluator.Tick(h.now)
 		if done != nil && done() {
 			return passed + step
 		}
@@ -80,19 +80,19 @@
 	return d
 }
 
-func (b *bench) traffic(c *Carrier, step time.Duration) {
-	for i, v := range c.View(b.now) {
-		mean := b.rate * step.Seconds() / float64(len(b.carriers))
+func (h *harness) traffic(c *Carrier, step time.Duration) {
+	for i, v := range c.View(h.now) {
+		mean := h.rate * step.Seconds() / float64(len(h.carriers))
 		if v.State == StateEjected || v.State == StateAvoided {
 			continue
 		}
-		for b.random.Float64() < mean {
+		for h.random.Float64() < mean {
 			mean-- // At most one request; rates of the tests are small.
-			how := b.behave(i, c.self.Zone)
-			latency := 40 * math.Exp(0.5*b.random.NormFloat64()) * how.slow
-			c.Observe(b.now, Attempt{
+			how := h.behave(i, c.self.Zone)
+			latency := 40 * math.Exp(0.5*h.random.NormFloat64()) * how.slow
+			c.Observe(h.now, Attempt{
 				Endpoint: v.Endpoint,
-				Failed:   b.random.Float64() < how.failing,
+				Failed:   h.random.Float64() < how.failing,
 				Latency:  time.Duration(latency * float64(time.Millisecond)),
 				Trial:    v.State == StateTrial,
 			})
@@ -100,22 +100,22 @@
 	}
 }
 
-func (b *bench) exchange(i int, c *Carrier) {
-	for _, s := range c.Tick(b.now) {
-		b.tamper(i, s.Evidence)
-		sends, err := b.judge.Deliver(b.now, c.self.Ref, s.Evidence)
+func (h *harness) exchange(i int, c *Carrier) {
+	for _, s := range c.Tick(h.now) {
+		h.tamper(i, s.Evidence)
+		sends, err := h.evaluator.Deliver(h.now, c.self.Ref, s.Evidence)
 		if err != nil {
 			continue
 		}
-		_ = c.Deliver(b.now, b.judge.self.Ref, sends[0].Verdict)
+		_ = c.Deliver(h.now, h.evaluator.self.Ref, sends[0].Decision)
 	}
 }
 
 // out returns how many carriers have an endpoint out of service.
-func (b *bench) out(endpoint int) int {
+func (h *harness) outCount(endpoint int) int {
 	count := 0
-	for _, c := range b.carriers {
-		if removes(c.View(b.now)[endpoint].State) {
+	for _, c := range h.carriers {
+		if isRemoved(c.View(h.now)[endpoint].State) {
 			count++
 		}
 	}
@@ -123,9 +123,9 @@
 }
 
 // anyOut reports whether any carrier has any endpoint but the excepted out of service.
-func (b *bench) anyOut(except int) bool {
-	for i := range b.upstreams {
-		if i != except && b.out(i) > 0 {
+func (h *harness) anyOutExcept(except int) bool {
+	for i := range h.upstreams {
+		if i != except && h.outCount(i) > 0 {
 			return true
 		}
 	}
--- a/coord/health/ledger_test.go
+++ b/coord/health/ledger_test.go
@@ -30,21 +30,21 @@
 			now = now.Add(time.Duration(rapid.IntRange(50, 600).Draw(t, "ms")) * time.Millisecond)
 			l.expire(now)
 			next := issued{at: now, allowance: rapid.IntRange(0, 4).Draw(t, "allowance")}
-			i := l.begin(next.allowance)
+			r := l.begin(next.allowance)
 			for _, key := range rapid.SliceOfDistinct(rapid.Map(rapid.IntRange(0, 2), func(k int) EndpointKey { return EndpointKey(k) }), rapid.ID).Draw(t, "wanted") {
-				if i.add(key, slots[key], zones) {
+				if r.add(key, slots[key], zones) {
 					next.named = append(next.named, key)
 				}
 			}
-			i.end(now, live)
+			r.commit(now, live)
 			history = append(history, next)
-			total, most := 0, 0
+			total, largest := 0, 0
 			counted := map[EndpointKey]bool{}
 			for _, h := range history {
 				if now.Sub(h.at) >= live {
 					continue
 				}
-				most = max(most, h.allowance)
+				largest = max(largest, h.allowance)
 				for _, key := range h.named {
 					if !counted[key] {
 						counted[key] = true
@@ -52,8 +52,8 @@
 					}
 				}
 			}
-			if total > most {
-				t.Fatalf("live verdicts name %d slots, the largest allowance is %d", total, most)
+			if total > largest {
+				t.Fatalf("live verdicts name %d slots, the largest allowance is %d", total, largest)
 			}
 		}
 	})
--- a/coord/health/message.go
+++ b/coord/health/message.go
@@ -17,8 +17,8 @@
 // Evidence is what a carrier saw of its attempts since its last message, sent to the service's judge.
 type Evidence struct {
 	Sequence uint64         `cbor:"1,keyasint"`           // Counts the carrier's messages, from 1.
-	Echo     uint64         `cbor:"2,keyasint,omitempty"` // Number of the last Verdict from this judge.
-	Lent     bool           `cbor:"3,keyasint,omitempty"` // The carrier lends itself to this judge.
+	Ack      uint64         `cbor:"2,keyasint,omitempty"` // Number of the last Verdict from this judge.
+	Vote     bool           `cbor:"3,keyasint,omitempty"` // The carrier lends itself to this judge.
 	Revision fleet.Revision `cbor:"4,keyasint"`           // Of the service's parameters.
 	Reports  []Report       `cbor:"5,keyasint,omitempty"`
 	Trials   []Report       `cbor:"6,keyasint,omitempty"` // Of trial requests.
@@ -34,8 +34,8 @@
 	Latency []byte
 }
 
-// Verdict is a judge's answer to one Evidence. It replaces every earlier Verdict of the judge.
-type Verdict struct {
+// Decision is a judge's answer to one Evidence. It replaces every earlier Decision of the judge.
+type Decision struct {
 	Sequence uint64    `cbor:"1,keyasint"` // Of the Evidence that it answers.
 	Number   uint64    `cbor:"2,keyasint"` // Counts the judge's messages, from 1.
 	Removals []Removal `cbor:"3,keyasint,omitempty"`
--- a/coord/health/removal.go
+++ b/coord/health/removal.go
@@ -18,8 +18,8 @@
 	ActionReturn  Action = "return"  // Back in service.
 )
 
-// Decision is one decision of a judge with the figures that led to it.
-type Decision struct {
+// Transition is one decision of a judge with the figures that led to it.
+type Transition struct {
 	At        time.Time      `json:"at"`
 	Service   fleet.Service  `json:"service"`
 	Endpoint  fleet.Endpoint `json:"endpoint"`
@@ -29,65 +29,65 @@
 	Score     float64        `json:"score"`           // In nats.
 	Limit     float64        `json:"limit"`           // In nats.
 	Budget    int            `json:"budget"`          // Slots that the judge may hold in ejections.
-	Heard     int            `json:"heard"`           // Carriers that the budget rests on.
+	Votes     int            `json:"heard"`           // Carriers that the budget rests on.
 	Carriers  int            `json:"carriers"`
 	Hold      time.Duration  `json:"hold"` // Time until trial requests.
 	MayReturn time.Time      `json:"may_return"`
 }
 
 // maxDecisions bounds the decisions that wait for Decisions.
-const maxDecisions = 1024
+const maxTransitions = 1024
 
-// Decisions returns the decisions since the last call.
-func (j *Judge) Decisions() []Decision {
-	taken := j.decisions
-	j.decisions = nil
+// Transitions returns the decisions since the last call.
+func (ev *Evaluator) Transitions() []Transition {
+	taken := ev.transitions
+	ev.transitions = nil
 	return taken
 }
 
-func (j *Judge) note(now time.Time, t *tracked, action Action) {
-	if len(j.decisions) >= maxDecisions {
+func (ev *Evaluator) recordTransition(now time.Time, ep *endpointState, action Action) {
+	if len(ev.transitions) >= maxTransitions {
 		return
 	}
-	budget, heard := j.Budget(now)
-	j.decisions = append(j.decisions, Decision{
+	budget, votes := ev.Budget(now)
+	ev.transitions = append(ev.transitions, Transition{
 		At:        now,
-		Service:   j.params.Service,
-		Endpoint:  t.upstream.Endpoint,
+		Service:   ev.params.Service,
+		Endpoint:  ep.upstream.Endpoint,
 		Action:    action,
-		Cause:     t.removal.cause.String(),
-		Zones:     t.removal.zones,
-		Score:     t.removal.score,
-		Limit:     j.operating.Limit,
+		Cause:     ep.removal.cause.String(),
+		Zones:     ep.removal.zones,
+		Score:     ep.removal.score,
+		Limit:     ev.operating.Limit,
 		Budget:    budget,
-		Heard:     heard,
-		Carriers:  len(j.assignment.Carriers),
-		Hold:      j.hold(t),
-		MayReturn: t.removal.mayReturn,
+		Votes:     votes,
+		Carriers:  len(ev.assignment.Carriers),
+		Hold:      ev.holdDuration(ep),
+		MayReturn: ep.removal.mayReturn,
 	})
 }
 
 // hold returns the time that an endpoint stays out before trial requests: it doubles with each strike.
-func (j *Judge) hold(t *tracked) time.Duration {
-	hold := j.cfg.Hold
-	for range t.removal.strikes {
-		hold = min(2*hold, j.cfg.HoldMax)
+func (ev *Evaluator) holdDuration(ep *endpointState) time.Duration {
+	hold := ev.cfg.Hold
+	for range ep.removal.holdDoublings {
+		hold = min(2*hold, ev.cfg.HoldMax)
 	}
 	return hold
 }
 
 // remove takes an endpoint out of service for some zones, or for all when zones is nil.
-func (j *Judge) remove(now time.Time, t *tracked, zones []fleet.Zone, cause Cause, score float64) {
-	again := t.removed()
-	if !again {
-		j.forgive(now, t)
+func (ev *Evaluator) remove(now time.Time, ep *endpointState, zones []fleet.Zone, cause Cause, score float64) {
+	alreadyRemoved := ep.removed()
+	if !alreadyRemoved {
+		ev.decayHold(now, ep)
 	}
-	r := &t.removal
+	r := &ep.removal
 	r.zones = zones
 	r.cause = cause
 	r.score = score
 	r.since = now
-	r.mayReturn = now.Add(j.hold(t))
+	r.mayReturn = now.Add(ev.holdDuration(ep))
 	r.resetTrials()
 	r.state = StateEjected
 	action := ActionEject
@@ -95,27 +95,27 @@
 		r.state = StateAvoided
 		action = ActionAvoid
 	}
-	j.note(now, t, action)
-	if !again {
-		r.strikes = min(r.strikes+1, maxStrikes)
+	ev.recordTransition(now, ep, action)
+	if !alreadyRemoved {
+		r.holdDoublings = min(r.holdDoublings+1, maxHoldDoublings)
 	}
 }
 
 // maxStrikes bounds the doublings of a hold time.
-const maxStrikes = 16
+const maxHoldDoublings = 16
 
 // forgive undoes one strike for each Forgive of service without an ejection.
-func (j *Judge) forgive(now time.Time, t *tracked) {
-	r := &t.removal
+func (ev *Evaluator) decayHold(now time.Time, ep *endpointState) {
+	r := &ep.removal
 	if r.returned.IsZero() {
 		return
 	}
-	undone := int(now.Sub(r.returned) / j.cfg.Forgive)
-	r.strikes = max(r.strikes-undone, 0)
+	undone := int(now.Sub(r.returned) / ev.cfg.HoldDecay)
+	r.holdDoublings = max(r.holdDoublings-undone, 0)
 }
 
 func (r *removal) resetTrials() {
-	r.trial = [causes]float64{}
-	r.trials = 0
+	r.trialScores = [numCauses]float64{}
+	r.trialRequests = 0
 	r.lastTrial = time.Time{}
 }
--- a/coord/health/safety_test.go
+++ b/coord/health/safety_test.go
@@ -12,175 +12,175 @@
 )
 
 // actions are what may happen to a world, by name.
-func (w *world) actions() map[string]func(*rapid.T) {
+func (sim *simulation) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"advance": func(t *rapid.T) {
-			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
+			sim.now = sim.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 		},
 		"rounds": func(t *rapid.T) { // Several nodes talk to their judges without loss.
-			subset := rapid.SliceOfDistinct(rapid.IntRange(0, len(w.nodes)-1), rapid.ID).Draw(t, "nodes")
+			subset := rapid.SliceOfDistinct(rapid.IntRange(0, len(sim.nodes)-1), rapid.ID).Draw(t, "nodes")
 			for range rapid.IntRange(1, 12).Draw(t, "rounds") {
-				w.now = w.now.Add(500 * time.Millisecond)
+				sim.now = sim.now.Add(500 * time.Millisecond)
 				for _, i := range subset {
-					if w.nodes[i].alive {
-						w.exchange(w.nodes[i])
-						w.check()
+					if sim.nodes[i].alive {
+						sim.exchange(sim.nodes[i])
+						sim.check()
 					}
 				}
 			}
 		},
 		"tick": func(t *rapid.T) {
-			if n := w.drawNode("node"); n.alive {
-				w.post(n.self.Ref, n.carrier.Tick(w.clock(n)))
+			if n := sim.drawNode("node"); n.alive {
+				sim.post(n.self.Ref, n.carrier.Tick(sim.clock(n)))
 			}
 		},
 		"deliver": func(t *rapid.T) { // Late, doubled and replayed messages alike.
-			if len(w.mail) == 0 {
+			if len(sim.messages) == 0 {
 				return
 			}
-			back := min(rapid.IntRange(0, 40).Draw(t, "back"), len(w.mail)-1)
-			w.deliver(w.mail[len(w.mail)-1-back])
+			back := min(rapid.IntRange(0, 40).Draw(t, "back"), len(sim.messages)-1)
+			sim.deliver(sim.messages[len(sim.messages)-1-back])
 		},
 		"want": func(t *rapid.T) {
-			u := rapid.SampledFrom(w.truth).Draw(t, "endpoint")
+			u := rapid.SampledFrom(sim.actual).Draw(t, "endpoint")
 			zone := rapid.SampledFrom([]fleet.Zone{"", "", "a", "b", "c"}).Draw(t, "zone")
-			w.want(w.drawNode("judge"), KeyOf(u.Endpoint), zone, rapid.IntRange(0, 3).Draw(t, "removed") > 0)
+			sim.setRemoved(sim.drawNode("judge"), KeyOf(u.Endpoint), zone, rapid.IntRange(0, 3).Draw(t, "removed") > 0)
 		},
 		"assign": func(t *rapid.T) { // A node takes another instance for the judge.
-			n, judge := w.drawNode("node"), w.drawNode("judge")
+			n, evaluator := sim.drawNode("node"), sim.drawNode("judge")
 			if n.alive {
-				n.judgeRef = judge.self.Ref
-				w.configure(n)
+				n.evaluatorRef = evaluator.self.Ref
+				sim.configure(n)
 			}
 		},
-		"session": w.session,
+		"session": sim.session,
 	}
 }
 
 // session lets every node follow one of two judges for a while. The judges change their
 // minds, and some nodes miss some verdicts.
-func (w *world) session(t *rapid.T) {
-	alive := slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return !n.alive })
-	judges := []*node{
+func (sim *simulation) session(t *rapid.T) {
+	alive := slices.DeleteFunc(slices.Clone(sim.nodes), func(n *node) bool { return !n.alive })
+	evaluators := []*node{
 		rapid.SampledFrom(alive).Draw(t, "first"),
 		rapid.SampledFrom(alive).Draw(t, "second"),
 	}
 	for _, n := range alive {
-		n.judgeRef = judges[rapid.IntRange(0, 1).Draw(t, "side")].self.Ref
-		w.configure(n)
+		n.evaluatorRef = evaluators[rapid.IntRange(0, 1).Draw(t, "side")].self.Ref
+		sim.configure(n)
 	}
 	for range rapid.IntRange(1, 24).Draw(t, "rounds") {
-		w.now = w.now.Add(time.Duration(rapid.IntRange(500, 800).Draw(t, "ms")) * time.Millisecond)
-		missing := rapid.IntRange(0, 3*len(alive)).Draw(t, "missing")
+		sim.now = sim.now.Add(time.Duration(rapid.IntRange(500, 800).Draw(t, "ms")) * time.Millisecond)
+		skipped := rapid.IntRange(0, 3*len(alive)).Draw(t, "missing")
 		if rapid.IntRange(0, 2).Draw(t, "change") == 0 {
-			w.changeMind(t, rapid.SampledFrom(judges).Draw(t, "judge"))
+			sim.redrawRemovals(t, rapid.SampledFrom(evaluators).Draw(t, "judge"))
 		}
 		for i, n := range alive {
-			if i != missing {
-				w.exchange(n)
-				w.check()
+			if i != skipped {
+				sim.exchange(n)
+				sim.check()
 			}
 		}
 	}
 }
 
 // changeMind makes a judge want another set of endpoints removed.
-func (w *world) changeMind(t *rapid.T, judge *node) {
-	for _, u := range w.truth {
-		w.want(judge, KeyOf(u.Endpoint), "", rapid.Bool().Draw(t, "removed"))
+func (sim *simulation) redrawRemovals(t *rapid.T, evaluator *node) {
+	for _, u := range sim.actual {
+		sim.setRemoved(evaluator, KeyOf(u.Endpoint), "", rapid.Bool().Draw(t, "removed"))
 	}
 }
 
 // listActions let endpoints drain, warm up and come back while the lists lag and differ.
-func (w *world) listActions(actions map[string]func(*rapid.T)) {
+func (sim *simulation) listActions(actions map[string]func(*rapid.T)) {
 	actions["truth"] = func(t *rapid.T) {
-		i := rapid.IntRange(0, len(w.truth)-1).Draw(t, "endpoint")
-		w.truth[i].State = rapid.SampledFrom([]fleet.UpstreamState{fleet.UpstreamReady, fleet.UpstreamCold, fleet.UpstreamLeaving}).Draw(t, "state")
+		i := rapid.IntRange(0, len(sim.actual)-1).Draw(t, "endpoint")
+		sim.actual[i].State = rapid.SampledFrom([]fleet.UpstreamState{fleet.UpstreamReady, fleet.UpstreamCold, fleet.UpstreamLeaving}).Draw(t, "state")
 	}
 	actions["listing"] = func(t *rapid.T) {
-		if n := w.drawNode("node"); n.alive {
-			n.list = slices.Clone(w.truth)
-			w.configure(n)
+		if n := sim.drawNode("node"); n.alive {
+			n.list = slices.Clone(sim.actual)
+			sim.configure(n)
 		}
 	}
 }
 
 // rosterActions let instances restart, join and go while the rosters lag and differ.
-func (w *world) rosterActions(actions map[string]func(*rapid.T)) {
+func (sim *simulation) rosterActions(actions map[string]func(*rapid.T)) {
 	actions["restart"] = func(t *rapid.T) {
-		n := w.drawNode("node")
-		if !n.alive || len(w.nodes) > 14 {
+		n := sim.drawNode("node")
+		if !n.alive || len(sim.nodes) > 14 {
 			return
 		}
 		n.alive = false
-		fresh := w.start(string(n.self.Ref.ID), uint64(n.self.Ref.Incarnation)+1)
+		fresh := sim.start(string(n.self.Ref.ID), uint64(n.self.Ref.Incarnation)+1)
 		fresh.self.Zone = n.self.Zone
 		fresh.carrier.self.Zone = n.self.Zone
-		w.newRoster(fresh)
+		sim.newRoster(fresh)
 	}
 	actions["join"] = func(t *rapid.T) {
-		if len(w.nodes) > 14 {
+		if len(sim.nodes) > 14 {
 			return
 		}
-		w.newRoster(w.start(fmt.Sprintf("j%d", len(w.nodes)), 1))
+		sim.newRoster(sim.start(fmt.Sprintf("j%d", len(sim.nodes)), 1))
 	}
 	actions["strike"] = func(t *rapid.T) { // Struck off while it may still be running.
-		carriers := slices.Clone(w.rosters[len(w.rosters)-1].carriers)
-		if len(carriers) < 2 || len(w.rosters) > 12 {
+		carriers := slices.Clone(sim.rosters[len(sim.rosters)-1].carriers)
+		if len(carriers) < 2 || len(sim.rosters) > 12 {
 			return
 		}
 		i := rapid.IntRange(0, len(carriers)-1).Draw(t, "carrier")
-		w.rosters = append(w.rosters, roster{carriers: slices.Delete(carriers, i, i+1)})
+		sim.rosters = append(sim.rosters, roster{carriers: slices.Delete(carriers, i, i+1)})
 	}
 	actions["roster"] = func(t *rapid.T) {
-		n := w.drawNode("node")
-		if n.alive && n.roster < len(w.rosters)-1 {
-			n.roster = rapid.IntRange(n.roster+1, len(w.rosters)-1).Draw(t, "generation")
-			w.configure(n)
+		n := sim.drawNode("node")
+		if n.alive && n.roster < len(sim.rosters)-1 {
+			n.roster = rapid.IntRange(n.roster+1, len(sim.rosters)-1).Draw(t, "generation")
+			sim.configure(n)
 		}
 	}
 }
 
 // newRoster adds a roster in which an instance takes the place of its earlier life, or a new one.
-func (w *world) newRoster(fresh *node) {
-	carriers := slices.Clone(w.rosters[len(w.rosters)-1].carriers)
+func (sim *simulation) newRoster(fresh *node) {
+	carriers := slices.Clone(sim.rosters[len(sim.rosters)-1].carriers)
 	carriers = slices.DeleteFunc(carriers, func(c fleet.Instance) bool { return c.Ref.ID == fresh.self.Ref.ID })
-	w.rosters = append(w.rosters, roster{carriers: append(carriers, fresh.self)})
-	fresh.roster = len(w.rosters) - 1
-	w.configure(fresh)
+	sim.rosters = append(sim.rosters, roster{carriers: append(carriers, fresh.self)})
+	fresh.roster = len(sim.rosters) - 1
+	sim.configure(fresh)
 }
 
-func runWorld(t *testing.T, extend func(*world, map[string]func(*rapid.T))) {
-	most := 0
+func runSimulation(t *testing.T, extend func(*simulation, map[string]func(*rapid.T))) {
+	maxRemoved := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rt)
-		actions := w.actions()
-		extend(w, actions)
-		actions[""] = func(*rapid.T) { w.check() }
+		sim := newSimulation(rt)
+		actions := sim.actions()
+		extend(sim, actions)
+		actions[""] = func(*rapid.T) { sim.check() }
 		rt.Repeat(actions)
-		most = max(most, w.most)
+		maxRemoved = max(maxRemoved, sim.maxRemoved)
 	})
-	if most == 0 {
+	if maxRemoved == 0 {
 		t.Fatal("no run ejected anything")
 	}
 }
 
 func TestFloorHoldsInAnySplit(t *testing.T) {
-	runWorld(t, func(*world, map[string]func(*rapid.T)) {})
+	runSimulation(t, func(*simulation, map[string]func(*rapid.T)) {})
 }
 
 func TestFloorHoldsWhileListsDiffer(t *testing.T) {
-	runWorld(t, (*world).listActions)
+	runSimulation(t, (*simulation).listActions)
 }
 
 func TestFloorHoldsWhileRostersDiffer(t *testing.T) {
-	runWorld(t, (*world).rosterActions)
+	runSimulation(t, (*simulation).rosterActions)
 }
 
 func TestFloorHoldsWhileEverythingDiffers(t *testing.T) {
-	runWorld(t, func(w *world, actions map[string]func(*rapid.T)) {
-		w.listActions(actions)
-		w.rosterActions(actions)
+	runSimulation(t, func(sim *simulation, actions map[string]func(*rapid.T)) {
+		sim.listActions(actions)
+		sim.rosterActions(actions)
 	})
 }
 
@@ -190,9 +190,9 @@
 		budget := rapid.IntRange(-5, 400).Draw(t, "budget")
 		left, total := carriers, 0
 		for left > 0 {
-			heard := rapid.IntRange(1, left).Draw(t, "heard")
-			left -= heard
-			total += share(budget, carriers, heard)
+			votes := rapid.IntRange(1, left).Draw(t, "heard")
+			left -= votes
+			total += budgetShare(budget, carriers, votes)
 		}
 		if total > max(budget, 0) {
 			t.Fatalf("sides may eject %d slots, budget is %d", total, budget)
@@ -210,13 +210,13 @@
 		ended := rapid.IntRange(0, carriers).Draw(t, "ended")
 		unheard := carriers - ended
 		held := 0
-		for judge := range rapid.IntRange(1, 5).Draw(t, "judges") {
-			heard := rapid.IntRange(0, unheard).Draw(t, "heard")
+		for evaluator := range rapid.IntRange(1, 5).Draw(t, "judges") {
+			votes := rapid.IntRange(0, unheard).Draw(t, "heard")
 			known := rapid.IntRange(0, ended).Draw(t, "known to have ended")
-			unheard -= heard
-			part := share(budget, carriers-known, heard)
+			unheard -= votes
+			part := budgetShare(budget, carriers-known, votes)
 			held += part
-			t.Logf("judge %d of %d carriers hears %d and holds %d", judge, carriers-known, heard, part)
+			t.Logf("judge %d of %d carriers hears %d and holds %d", evaluator, carriers-known, votes, part)
 		}
 		if held > budget {
 			t.Fatalf("judges hold %d slots, budget %d", held, budget)
--- a/coord/health/threshold.go
+++ b/coord/health/threshold.go
@@ -16,7 +16,7 @@
 
 // testsPerRequest is the number of sequential tests that one request takes part in:
 // two for failures and one for slowness, over all carriers and over those of one zone.
-const testsPerRequest = 2 * tests
+const testsPerRequest = 2 * numTests
 
 // dependenceMargin divides the accepted false ejections: requests that an endpoint runs
 // at the same time are not independent of each other.
@@ -25,19 +25,19 @@
 // minLimit is the lowest score limit, in nats.
 const minLimit = 3.0
 
-// Operating is the point on the operating curve that a service's parameters set.
-type Operating struct {
+// OperatingPoint is the point on the operating curve that a service's parameters set.
+type OperatingPoint struct {
 	Limit                          float64       // Score at which an endpoint is ejected, in nats.
 	FalseEjectionsPerEndpointMonth float64       // Accepted of healthy endpoints.
 	RequestsPerSecondPerEndpoint   float64       // On which the times below rest.
-	DetectFailing                  time.Duration // Expected for an endpoint that fails 30% of its work.
-	DetectSlow                     time.Duration // Expected for an endpoint that is 10 times slower.
+	FailingDetectionTime           time.Duration // Expected for an endpoint that fails 30% of its work.
+	SlowDetectionTime              time.Duration // Expected for an endpoint that is 10 times slower.
 }
 
 // Faults whose detection time Threshold gives.
 const (
-	shownFailureRate = 0.3
-	shownSlowFactor  = 10.0
+	referenceFailureRate = 0.3
+	referenceSlowFactor  = 10.0
 )
 
 // Threshold returns the operating point of a service with a number of endpoints.
@@ -46,7 +46,7 @@
 // limit h is at least e^h, whatever the distribution of healthy requests. So the limit
 // is the logarithm of the tests that an endpoint takes part in per month over the
 // false ejections accepted in it, with a margin.
-func Threshold(p Parameters, endpoints int) Operating {
+func Threshold(p Parameters, endpoints int) OperatingPoint {
 	accepted := p.FalseEjectionsPerEndpointMonth
 	if accepted <= 0 {
 		accepted = defaultFalseEjections
@@ -58,16 +58,16 @@
 	perEndpoint := rate / float64(max(endpoints, 1))
 	perMonth := perEndpoint * endpointMonth.Seconds()
 	limit := max(math.Log(dependenceMargin*float64(testsPerRequest)*perMonth/accepted), minLimit)
-	c := defaultCentre()
-	failing := c.failureDrift(shownFailureRate)
-	slow := c.slowGain(math.Log(shownSlowFactor))
+	c := defaultBaseline()
+	failing := c.expectedFailureGain(referenceFailureRate)
+	slow := c.slowGain(math.Log(referenceSlowFactor))
 	wait := DefaultConfig().Interval / 2
-	return Operating{
+	return OperatingPoint{
 		Limit:                          limit,
 		FalseEjectionsPerEndpointMonth: accepted,
 		RequestsPerSecondPerEndpoint:   perEndpoint,
-		DetectFailing:                  wait + seconds(limit/failing/perEndpoint),
-		DetectSlow:                     wait + seconds(limit/slow/perEndpoint),
+		FailingDetectionTime:           wait + seconds(limit/failing/perEndpoint),
+		SlowDetectionTime:              wait + seconds(limit/slow/perEndpoint),
 	}
 }
 
--- a/coord/health/threshold_test.go
+++ b/coord/health/threshold_test.go
@@ -16,7 +16,7 @@
 		loose := Threshold(p, endpoints)
 		p.FalseEjectionsPerEndpointMonth /= 10
 		strict := Threshold(p, endpoints)
-		if strict.Limit <= loose.Limit || strict.DetectFailing < loose.DetectFailing || strict.DetectSlow < loose.DetectSlow {
+		if strict.Limit <= loose.Limit || strict.FailingDetectionTime < loose.FailingDetectionTime || strict.SlowDetectionTime < loose.SlowDetectionTime {
 			t.Fatalf("accepting a tenth changes %+v to %+v", loose, strict)
 		}
 	})
@@ -24,7 +24,7 @@
 
 func TestThresholdOfAnEmptyTemplateIsDefined(t *testing.T) {
 	o := Threshold(Parameters{}, 0)
-	if o.Limit < minLimit || o.DetectFailing <= 0 || o.DetectSlow <= 0 {
+	if o.Limit < minLimit || o.FailingDetectionTime <= 0 || o.SlowDetectionTime <= 0 {
 		t.Fatalf("operating point %+v", o)
 	}
 }
--- a/coord/health/validate.go
+++ b/coord/health/validate.go
@@ -48,8 +48,8 @@
 	}
 	answers := uint32(0)
 	for i := 0; i < len(r.Latency); i += 2 {
-		if r.Latency[i] > binLast {
-			return fmt.Errorf("latency bin %d is over %d", r.Latency[i], binLast)
+		if r.Latency[i] > maxBin {
+			return fmt.Errorf("latency bin %d is over %d", r.Latency[i], maxBin)
 		}
 		answers += uint32(r.Latency[i+1])
 	}
--- a/internal/endpoints/duty.go
+++ b/internal/endpoints/duty.go
@@ -80,7 +80,7 @@
 func NewDuty(o Options) *Duty {
 	o.setDefaults()
 	d := &Duty{options: o, services: make(map[fleet.Service]*service)}
-	d.ended = newEndedLives(o.Health.Loan + o.Health.DriftMargin)
+	d.ended = newEndedLives(o.Health.VoteLease + o.Health.DriftMargin)
 	d.status.Store(&Status{})
 	return d
 }
--- a/internal/endpoints/message.go
+++ b/internal/endpoints/message.go
@@ -23,6 +23,6 @@
 
 // VerdictEntry is the verdict on one service.
 type VerdictEntry struct {
-	Service fleet.Service  `cbor:"1,keyasint"`
-	Verdict health.Verdict `cbor:"2,keyasint"`
+	Service fleet.Service   `cbor:"1,keyasint"`
+	Verdict health.Decision `cbor:"2,keyasint"`
 }
--- a/internal/endpoints/outbox.go
+++ b/internal/endpoints/outbox.go
@@ -21,8 +21,8 @@
 		if s.Evidence != nil {
 			o.addEvidence(s.To, EvidenceEntry{Service: service, Evidence: *s.Evidence})
 		}
-		if s.Verdict != nil {
-			o.addVerdict(s.To, VerdictEntry{Service: service, Verdict: *s.Verdict})
+		if s.Decision != nil {
+			o.addVerdict(s.To, VerdictEntry{Service: service, Verdict: *s.Decision})
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		entry := &body.Entries[i]
 		state := d.services[entry.Service]
 		if state == nil || state.carrier == nil {
-			faults = append(faults, fmt.Errorf("%w: service %q is not carried here", health.ErrVerdictDropped, entry.Service))
+			faults = append(faults, fmt.Errorf("%w: service %q is not carried here", health.ErrDecisionDropped, entry.Service))
 			continue
 		}
 		if err := state.carrier.Deliver(now, from, &entry.Verdict); err != nil {
--- a/internal/endpoints/service.go
+++ b/internal/endpoints/service.go
@@ -26,7 +26,7 @@
 	former   []formerSet
 	carrying bool
 	carrier  *health.Carrier
-	judge    *health.Judge
+	judge    *health.Evaluator
 	judging  bool
 	assigned fleet.Instance // The service's judge.
 	placed   uint64         // Counts the fleets; which one carriers and assigned follow from.
@@ -64,7 +64,7 @@
 // assign brings a service's carrier and judge in line with the fleet.
 func (d *Duty) assign(now time.Time, s *service) {
 	judge := d.place(now, s)
-	a := health.Assignment{Generation: d.generation, Judge: judge.Ref, Carriers: s.carriers, Former: s.formerCarriers()}
+	a := health.Assignment{Generation: d.generation, Evaluator: judge.Ref, Carriers: s.carriers, Former: s.formerCarriers()}
 	p := parametersOf(s.template)
 	s.carrying = slices.ContainsFunc(s.carriers, d.isSelf)
 	if s.carrying && s.carrier == nil {
@@ -102,7 +102,7 @@
 	case !s.judging:
 		s.judge = nil
 	case s.judge == nil:
-		s.judge = health.NewJudge(d.self, d.options.Health)
+		s.judge = health.NewEvaluator(d.self, d.options.Health)
 	}
 }
 
--- a/internal/endpoints/status.go
+++ b/internal/endpoints/status.go
@@ -103,13 +103,13 @@
 	if s.judge == nil {
 		return
 	}
-	for _, decision := range s.judge.Decisions() {
+	for _, decision := range s.judge.Transitions() {
 		d.logDecision(decision)
 		d.traceDecision(decision)
 	}
 }
 
-func (d *Duty) logDecision(x health.Decision) {
+func (d *Duty) logDecision(x health.Transition) {
 	d.options.Log.Info("endpoint "+string(x.Action),
 		"service", x.Service,
 		"endpoint", x.Endpoint,
@@ -118,14 +118,14 @@
 		"score", x.Score,
 		"limit", x.Limit,
 		"budget_slots", x.Budget,
-		"heard", x.Heard,
+		"heard", x.Votes,
 		"carriers", x.Carriers,
 		"hold_ms", x.Hold.Milliseconds(),
 		"may_return", x.MayReturn,
 	)
 }
 
-func (d *Duty) traceDecision(x health.Decision) {
+func (d *Duty) traceDecision(x health.Transition) {
 	_, span := d.options.Tracer.Start(context.Background(), "health decision", trace.WithTimestamp(x.At))
 	span.AddEvent(string(x.Action), trace.WithTimestamp(x.At), trace.WithAttributes(
 		attribute.String("service", string(x.Service)),
@@ -134,7 +134,7 @@
 		attribute.Float64("score", x.Score),
 		attribute.Float64("limit", x.Limit),
 		attribute.Int("budget_slots", x.Budget),
-		attribute.Int("heard", x.Heard),
+		attribute.Int("heard", x.Votes),
 		attribute.Int("carriers", x.Carriers),
 		attribute.Int64("hold_ms", x.Hold.Milliseconds()),
 	))
--- a/internal/measure/health/baselines.go
+++ b/internal/measure/health/baselines.go
@@ -38,7 +38,7 @@
 	if now.Before(a.until[carrier][endpoint]) {
 		return health.StateEjected
 	}
-	return health.StateOpen
+	return health.StateInService
 }
 
 func (a *alone) tick(time.Time, int)        {}
--- a/internal/measure/health/cost.go
+++ b/internal/measure/health/cost.go
@@ -73,7 +73,7 @@
 				spent = append(spent, float64(time.Since(start).Nanoseconds()))
 			}
 			for _, m := range j.outbox() {
-				n, err := size(wire.KindVerdict, endpoints.ServiceVerdict{Entries: []endpoints.VerdictEntry{{Service: w.service, Verdict: *m.send.Verdict}}})
+				n, err := size(wire.KindVerdict, endpoints.ServiceVerdict{Entries: []endpoints.VerdictEntry{{Service: w.service, Verdict: *m.send.Decision}}})
 				if err != nil {
 					return cost{}, err
 				}
--- a/internal/measure/health/detection.go
+++ b/internal/measure/health/detection.go
@@ -66,7 +66,7 @@
 	}
 	done := s.run(limit, func() bool {
 		missing = slices.DeleteFunc(missing, func(c int) bool {
-			return s.policy.state(s.now, c, s.sick) != health.StateOpen
+			return s.policy.state(s.now, c, s.sick) != health.StateInService
 		})
 		return len(missing) == 0
 	})
--- a/internal/measure/health/policy.go
+++ b/internal/measure/health/policy.go
@@ -31,7 +31,7 @@
 
 // judged is the policy of package health: carriers and one judge.
 type judged struct {
-	judge    *health.Judge
+	judge    *health.Evaluator
 	self     fleet.Instance
 	carriers []*health.Carrier
 	all      []fleet.Instance
@@ -51,8 +51,8 @@
 		FalseEjectionsPerEndpointMonth: w.accepted,
 		ExpectedRequestsPerSecond:      w.expected,
 	}
-	a := health.Assignment{Generation: 1, Judge: all[0].Ref, Carriers: all}
-	j := &judged{judge: health.NewJudge(all[0], cfg), self: all[0], all: all, views: make([][]health.EndpointView, len(all))}
+	a := health.Assignment{Generation: 1, Evaluator: all[0].Ref, Carriers: all}
+	j := &judged{judge: health.NewEvaluator(all[0], cfg), self: all[0], all: all, views: make([][]health.EndpointView, len(all))}
 	j.judge.Configure(now, p, a, upstreams)
 	for i, self := range all {
 		c := health.NewCarrier(self, cfg)
@@ -82,7 +82,7 @@
 
 func (j *judged) deliver(now time.Time, m message) {
 	if m.send.Evidence == nil {
-		if j.carriers[m.carrier].Deliver(now, j.self.Ref, m.send.Verdict) == nil {
+		if j.carriers[m.carrier].Deliver(now, j.self.Ref, m.send.Decision) == nil {
 			j.views[m.carrier] = j.carriers[m.carrier].View(now)
 		}
 		return
@@ -91,7 +91,7 @@
 	if err != nil {
 		return
 	}
-	for _, d := range j.judge.Decisions() {
+	for _, d := range j.judge.Transitions() {
 		if d.Action == health.ActionEject || d.Action == health.ActionAvoid {
 			j.ejected++
 		}
--- a/internal/measure/health/simulate.go
+++ b/internal/measure/health/simulate.go
@@ -165,7 +165,7 @@
 		if state == health.StateTrial && s.busy[carrier][e] == 0 {
 			return e, true, true
 		}
-		if state == health.StateOpen && s.limits[carrier][e] > 0 {
+		if state == health.StateInService && s.limits[carrier][e] > 0 {
 			usable = true
 			if s.busy[carrier][e] < s.limits[carrier][e] {
 				open = append(open, e)
@@ -189,7 +189,7 @@
 func (s *simulation) anyOpen(carrier int) []int {
 	var open []int
 	for e := range s.w.endpoints {
-		if s.policy.state(s.now, carrier, e) == health.StateOpen && s.busy[carrier][e] == 0 {
+		if s.policy.state(s.now, carrier, e) == health.StateInService && s.busy[carrier][e] == 0 {
 			open = append(open, e)
 		}
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -125,7 +125,7 @@
 	return api.EndpointView{
 		Upstream:  fleet.Upstream{Endpoint: e.Endpoint, Zone: e.Zone, Slots: e.Slots, State: e.Listed},
 		State:     state,
-		Judge:     e.Judge,
+		Judge:     e.Evaluator,
 		Score:     e.Score,
 		Limit:     e.Limit,
 		Until:     e.Until,
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -131,7 +131,7 @@
 // StateName returns the word for a state of the health duty.
 func StateName(s health.State) string {
 	switch s {
-	case health.StateOpen:
+	case health.StateInService:
 		return "open"
 	case health.StateEjected:
 		return "ejected"
