--- a/coord/health/answer.go
+++ b/coord/health/answer.go
@@ -8,26 +8,27 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// answer returns the verdict that answers one evidence of an instance.
+// decisionFor returns the decision that answers one Evidence of a carrier.
 func (ev *Evaluator) decisionFor(now time.Time, to fleet.Ref, sequence uint64) *Decision {
 	ev.number++
 	ev.voters[to].recordDecision(now, ev.number)
-	v := &Decision{Sequence: sequence, Number: ev.number}
+	d := &Decision{Sequence: sequence, Number: ev.number}
 	removed := ev.selectRemovals(now)
 	carrier, ok := ev.carriers[to]
 	if !ok {
-		return v
+		return d
 	}
 	for _, ep := range removed {
 		if ev.outForZone(ep, ev.zoneOf[carrier]) {
-			v.Removals = append(v.Removals, ev.removalFor(now, ep, carrier))
+			d.Removals = append(d.Removals, ev.removalFor(now, ep, carrier))
 		}
 	}
-	return v
+	return d
 }
 
-// issue names the removed endpoints that the budget lets the verdicts of this moment name.
-// It returns all removed ones: first those named, the worst first.
+// selectRemovals reserves budget for the removed endpoints, as far as it lasts, and marks the
+// others as kept in service by the floor. It returns all removed endpoints: those with budget
+// first, in the order of removedEndpoints.
 func (ev *Evaluator) selectRemovals(now time.Time) []*endpointState {
 	ev.ledger.expire(now)
 	removed := ev.removedEndpoints()
@@ -47,7 +48,7 @@
 	return removed
 }
 
-// removed returns the removed endpoints: those that the last verdict named first, then the worst first.
+// removedEndpoints returns the removed endpoints: those in the last decision first, then by falling score.
 func (ev *Evaluator) removedEndpoints() []*endpointState {
 	var removed []*endpointState
 	for _, ep := range ev.endpoints {
@@ -80,7 +81,7 @@
 	return 0
 }
 
-// zonesOf returns the zones whose carriers a removal concerns.
+// removalZones returns the zones whose carriers a removal applies to.
 func (ev *Evaluator) removalZones(ep *endpointState) []fleet.Zone {
 	if ep.removal.zones == nil {
 		return ev.zones
@@ -105,7 +106,7 @@
 	}
 }
 
-// Explain returns every endpoint as the judge sees it.
+// Explain returns the evaluator's state of every endpoint.
 func (ev *Evaluator) Explain(now time.Time) []EndpointView {
 	views := make([]EndpointView, 0, len(ev.endpoints))
 	for _, ep := range ev.endpoints {
--- a/coord/health/api.go
+++ b/coord/health/api.go
@@ -7,20 +7,20 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Assignment says who carries a service and who judges it, for one generation of the roster.
+// Assignment names the carriers and the evaluator of a service in one generation of the roster.
 type Assignment struct {
 	Generation uint64
 	Evaluator  fleet.Ref
 	Carriers   []fleet.Instance
-	// Former holds the carriers of earlier generations on which an instance may still act.
+	// Former holds the carriers of earlier generations that some instance may still use.
 	Former [][]fleet.Instance
 }
 
-// Errors of Carrier.Deliver and Judge.Deliver. The message was dropped and counted.
+// Errors of Carrier.Deliver and Evaluator.Deliver. The message was dropped and counted.
 var (
-	// ErrDecisionDropped says that a verdict is late, replayed or not an answer to this carrier.
-	ErrDecisionDropped = errors.New("verdict dropped")
-	// ErrEvidenceDropped says that evidence is absurd, replayed, of another revision or not from a carrier.
+	// ErrDecisionDropped is returned for a decision that is late, replayed or not an answer to this carrier.
+	ErrDecisionDropped = errors.New("decision dropped")
+	// ErrEvidenceDropped is returned for evidence that is invalid, replayed, of another revision or not from a carrier.
 	ErrEvidenceDropped = errors.New("evidence dropped")
 )
 
@@ -28,12 +28,12 @@
 type Parameters struct {
 	Service                        fleet.Service
 	Revision                       fleet.Revision
-	FloorSlots                     int
+	FloorSlots                     int // Slots that removals must leave in service.
 	FalseEjectionsPerEndpointMonth float64
 	ExpectedRequestsPerSecond      float64 // Of the whole service.
 }
 
-// Attempt is what a carrier saw of one attempt on an endpoint.
+// Attempt is the result of one attempt on an endpoint.
 type Attempt struct {
 	Endpoint fleet.Endpoint
 	Failed   bool
@@ -41,32 +41,32 @@
 	Trial    bool
 }
 
-// Send asks for a message to be sent to one life of an instance. Exactly one of the two is set.
+// Send is a message to be sent to one incarnation of an instance. Exactly one of Evidence and Decision is set.
 type Send struct {
 	To       fleet.Ref
 	Evidence *Evidence
 	Decision *Decision
 }
 
-// State is how an endpoint stands in one carrier's view.
+// State is the state of an endpoint for one carrier.
 type State uint8
 
 // States of an endpoint.
 const (
 	StateInService State = iota + 1 // In service.
-	StateEjected                    // Out of service everywhere.
-	StateAvoided                    // Out of reach from this carrier's zone only.
+	StateEjected                    // Out of service in all zones.
+	StateAvoided                    // Out of service in this carrier's zone, which cannot reach it, but not in all zones.
 	StateTrial                      // Ejected, and taking trial requests.
 )
 
-// EndpointView is one endpoint in a carrier's view, with what led to its state.
+// EndpointView is the state of one endpoint for a carrier, or at the evaluator, with the figures behind it.
 type EndpointView struct {
 	Endpoint  fleet.Endpoint `json:"endpoint"`
 	State     State          `json:"state"`
 	Evaluator fleet.Ref      `json:"judge"`
-	Score     float64        `json:"score"`      // Of the detector, in nats.
-	Limit     float64        `json:"limit"`      // Score at which it is ejected, in nats.
-	Until     time.Time      `json:"until"`      // When the verdict lapses unless renewed.
+	Score     float64        `json:"score"`      // Log-likelihood ratio of the detector, in nats.
+	Limit     float64        `json:"limit"`      // Score at which the endpoint is removed, in nats.
+	Until     time.Time      `json:"until"`      // When the decision expires unless renewed.
 	MayReturn time.Time      `json:"may_return"` // When trial requests may start.
-	AtFloor   bool           `json:"at_floor"`   // It would be ejected, but the floor forbids it.
+	AtFloor   bool           `json:"at_floor"`   // The detector would remove it, but the floor keeps it in service.
 }
--- a/coord/health/badinput_test.go
+++ b/coord/health/badinput_test.go
@@ -10,7 +10,7 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-func TestJudgeDropsAbsurdEvidence(t *testing.T) {
+func TestEvaluatorDropsInvalidEvidence(t *testing.T) {
 	key := KeyOf(endpointName(0))
 	report := func(r Report) *Evidence {
 		r.Endpoint = key
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestJudgeDropsReplayedEvidence(t *testing.T) {
+func TestEvaluatorDropsReplayedEvidence(t *testing.T) {
 	h := newHarness(1, 3, 3, 0, 10)
 	e := &Evidence{Sequence: 5, Revision: 1}
 	if _, err := h.evaluator.Deliver(h.now, h.carriers[0].self.Ref, e); err != nil {
@@ -57,8 +57,9 @@
 	}
 }
 
-// A judge that slept through its carriers' loans names nothing until it has heard from them again.
-func TestPausedJudgeThatWakesChangesNothing(t *testing.T) {
+// An evaluator that was paused until its carriers' votes expired must remove nothing before they vote again:
+// another evaluator may hold their votes by then.
+func TestPausedEvaluatorRemovesNothingAfterResume(t *testing.T) {
 	h := newHarness(1, 7, 12, 0, 30)
 	h.run(settleTime, nil)
 	late := h.carriers[0].Tick(h.now.Add(time.Second))
@@ -71,7 +72,7 @@
 		}
 		for _, r := range sends[0].Decision.Removals {
 			if isRemoved(r.State) {
-				t.Fatalf("the judge names endpoint %08x", r.Endpoint)
+				t.Fatalf("the evaluator removes endpoint %08x", r.Endpoint)
 			}
 		}
 	}
@@ -80,7 +81,7 @@
 	}
 }
 
-// Negative numbers do not decode into evidence.
+// No single message, however malformed, may eject an endpoint. Negative numbers do not decode into Evidence.
 func FuzzEvidence(f *testing.F) {
 	good, err := cbor.Marshal(Evidence{Sequence: 1, Revision: 1, Reports: []Report{{Endpoint: 1, Requests: 2, Latency: []byte{1, 1}}}})
 	if err != nil {
--- a/coord/health/baseline.go
+++ b/coord/health/baseline.go
@@ -5,64 +5,67 @@
 	"slices"
 )
 
-// Bounds and steps of the tests. A gain is the log-likelihood ratio of one request, in nats.
+// Parameters of the sequential tests. A gain is the log-likelihood ratio of one request
+// (unhealthy endpoint against healthy endpoint), in nats.
 const (
-	minFailureRate     = 0.01 // Healthy failure rate that the test assumes at least.
+	minFailureRate     = 0.01 // Least failure rate that the test assumes of a healthy endpoint.
 	minLogSigma        = 0.35 // Least standard deviation of the logarithm of latency.
 	priorLogSigma      = 0.6
 	minSlowShift       = math.Ln2
 	slowShiftSigmas    = 2.0
 	minSlowSpread      = 0.9   // Least standard deviation of the slowness of a slow endpoint, in nats.
-	slowMeanAboveShift = 0.5   // Mean slowness of a slow endpoint over the least that counts, in nats.
-	outlierShare       = 0.015 // Of healthy requests: any latency.
-	outlierRange       = 5.0   // Range of those latencies, in nats.
+	slowMeanAboveShift = 0.5   // Mean slowness of a slow endpoint above slowShift, in nats.
+	outlierShare       = 0.015 // Share of healthy requests whose latency may be anything.
+	outlierRange       = 5.0   // Width of the uniform distribution of those latencies, in nats.
 	maxSlowGain        = 5.0
 	minSlowGain        = -3.0
-	maxResidual        = 2.5 // Nats from the centre.
+	maxResidual        = 2.5 // Bound of a latency's distance from the baseline, in nats.
 )
 
-// failureSteps are the parts of the healthy requests that fail at a sick endpoint, by test.
+// extraFailureShares are, by test, the shares of the requests a healthy endpoint would answer
+// that an unhealthy one fails.
 var extraFailureShares = [...]float64{testSomeFail: 0.2, testMostFail: 0.8}
 
-// minCentreRequests is the number of requests of an endpoint from which its rates count.
+// minBaselineRequests is the number of requests from which an endpoint's averages enter the baseline.
 const minBaselineRequests = 5
 
-// centre is the robust centre of a service's endpoints: what a healthy request looks like.
+// baseline is what a healthy request of a service looks like: robust averages (medians) over its endpoints.
 type baseline struct {
 	failureRate  float64
 	logLatency   float64
 	sigma        float64
-	latencyKnown bool // logLatency comes from requests.
+	latencyKnown bool // logLatency was measured; without measurements slowness is not tested.
 }
 
 func defaultBaseline() baseline {
 	return baseline{failureRate: minFailureRate, sigma: priorLogSigma}
 }
 
-// failureGains returns the gains of a failed and of an answered request.
-func failureGains(healthy, extraShare float64) (failed, answered float64) {
-	unhealthyRate := healthy + extraShare*(1-healthy)
-	return math.Log(unhealthyRate / healthy), math.Log((1 - unhealthyRate) / (1 - healthy))
+// failureGains returns the gains of a failed and of an answered request, for the failure rate of a
+// healthy endpoint and the share of the other requests that an unhealthy endpoint also fails.
+func failureGains(healthyRate, extraShare float64) (failed, answered float64) {
+	unhealthyRate := healthyRate + extraShare*(1-healthyRate)
+	return math.Log(unhealthyRate / healthyRate), math.Log((1 - unhealthyRate) / (1 - healthyRate))
 }
 
-// failureDrift returns the expected gain of a request at an endpoint that fails a part of its work.
-func (c baseline) expectedFailureGain(failureShare float64) float64 {
-	failed, answered := failureGains(c.failureRate, extraFailureShares[testSomeFail])
+// expectedFailureGain returns the mean gain of a request at an endpoint that fails a share of its requests.
+func (b baseline) expectedFailureGain(failureShare float64) float64 {
+	failed, answered := failureGains(b.failureRate, extraFailureShares[testSomeFail])
 	return failureShare*failed + (1-failureShare)*answered
 }
 
-// slowShift returns the slowness that the test looks for, in nats of latency.
-func (c baseline) slowShift() float64 {
-	return max(minSlowShift, slowShiftSigmas*c.sigma)
+// slowShift returns the least slowness that the test looks for, in nats of latency.
+func (b baseline) slowShift() float64 {
+	return max(minSlowShift, slowShiftSigmas*b.sigma)
 }
 
-// slowGain returns the gain of a request with a residual of the logarithm of its latency.
-// Healthy latencies are lognormal but for a few outliers; those of a slow endpoint lie
-// around slowShift and above, in a broad range.
-func (c baseline) slowGain(residual float64) float64 {
-	spread := max(minSlowSpread, 1.5*c.sigma)
-	slowDensity := normalDensity(residual-c.slowShift()-slowMeanAboveShift, spread)
-	healthyDensity := (1-outlierShare)*normalDensity(residual, c.sigma) + outlierShare/outlierRange
+// slowGain returns the gain of a request whose log-latency differs from the baseline by residual.
+// Healthy latencies are lognormal with a few uniform outliers; those of a slow endpoint are
+// broadly distributed around a mean above slowShift.
+func (b baseline) slowGain(residual float64) float64 {
+	spread := max(minSlowSpread, 1.5*b.sigma)
+	slowDensity := normalDensity(residual-b.slowShift()-slowMeanAboveShift, spread)
+	healthyDensity := (1-outlierShare)*normalDensity(residual, b.sigma) + outlierShare/outlierRange
 	return min(max(math.Log(slowDensity/healthyDensity), minSlowGain), maxSlowGain)
 }
 
@@ -70,12 +73,12 @@
 	return math.Exp(-square(distance/sigma)/2) / (sigma * math.Sqrt(2*math.Pi))
 }
 
-// residual returns the logarithm of a bin's latency over the centre.
-func (c baseline) residual(bin uint8) float64 {
-	return min(max(logOfBin(bin)-c.logLatency, -maxResidual), maxResidual)
+// residual returns the distance of a bin's log-latency from the baseline, in nats, within maxResidual.
+func (b baseline) residual(bin uint8) float64 {
+	return min(max(logOfBin(bin)-b.logLatency, -maxResidual), maxResidual)
 }
 
-// rates are slowly moving averages over the requests of one endpoint.
+// averages are moving averages over the requests of one endpoint.
 type averages struct {
 	requests    float64 // Weight of failureRate, up to averagedRequests.
 	failureRate float64
@@ -84,61 +87,62 @@
 	variance    float64
 }
 
-// averagedRequests is the number of requests over which rates average.
+// averagedRequests is the number of requests that the moving averages span.
 const averagedRequests = 200
 
-// priorRequests weighs the failure rate that an endpoint is taken to have at first.
+// priorRequests is the weight of the prior failure rate of 0, in requests.
 const priorRequests = 20
 
-func (r *averages) addRequests(requests, failures float64) {
+func (a *averages) addRequests(requests, failures float64) {
 	if requests == 0 {
 		return
 	}
-	r.requests = min(r.requests+requests, averagedRequests)
-	weight := min(requests/(r.requests+priorRequests), 1)
-	r.failureRate += weight * (failures/requests - r.failureRate)
+	a.requests = min(a.requests+requests, averagedRequests)
+	weight := min(requests/(a.requests+priorRequests), 1)
+	a.failureRate += weight * (failures/requests - a.failureRate)
 }
 
-func (r *averages) addAnswers(count, logLatency float64) {
-	r.answers = min(r.answers+count, averagedRequests)
-	weight := count / r.answers
-	distance := logLatency - r.logLatency
-	if r.answers > count {
+func (a *averages) addAnswers(count, logLatency float64) {
+	a.answers = min(a.answers+count, averagedRequests)
+	weight := count / a.answers
+	distance := logLatency - a.logLatency
+	if a.answers > count {
 		distance = min(max(distance, -maxResidual), maxResidual)
 	}
-	r.logLatency += weight * distance
-	r.variance += weight * (distance*distance*(1-weight) - r.variance)
+	a.logLatency += weight * distance
+	a.variance += weight * (distance*distance*(1-weight) - a.variance)
 }
 
-// centreOf returns the centre of several endpoints; fallback stands in for what too few requests tell.
+// baselineOf returns the baseline of several endpoints. Values for which there are too
+// few requests come from fallback.
 func baselineOf(all []*averages, fallback baseline) baseline {
-	var failureShare, latency, variance []float64
-	for _, r := range all {
-		if r.requests >= minBaselineRequests {
-			failureShare = append(failureShare, r.failureRate)
+	var failureRates, logLatencies, variances []float64
+	for _, a := range all {
+		if a.requests >= minBaselineRequests {
+			failureRates = append(failureRates, a.failureRate)
 		}
-		if r.answers >= minBaselineRequests {
-			latency = append(latency, r.logLatency)
-			variance = append(variance, r.variance)
+		if a.answers >= minBaselineRequests {
+			logLatencies = append(logLatencies, a.logLatency)
+			variances = append(variances, a.variance)
 		}
 	}
-	c := fallback
-	if len(failureShare) > 0 {
-		c.failureRate = max(minFailureRate, 2*median(failureShare))
-		c.failureRate = min(c.failureRate, maxBaselineFailureRate)
+	b := fallback
+	if len(failureRates) > 0 {
+		b.failureRate = max(minFailureRate, 2*median(failureRates))
+		b.failureRate = min(b.failureRate, maxBaselineFailureRate)
 	}
-	if len(latency) > 0 {
-		c.latencyKnown = true
-		c.logLatency = median(latency)
-		c.sigma = max(minLogSigma, math.Sqrt(median(variance)+square(deviation(latency, c.logLatency))))
+	if len(logLatencies) > 0 {
+		b.latencyKnown = true
+		b.logLatency = median(logLatencies)
+		b.sigma = max(minLogSigma, math.Sqrt(median(variances)+square(deviation(logLatencies, b.logLatency))))
 	}
-	return c
+	return b
 }
 
-// maxCentreFailureRate keeps the test defined when almost everything fails.
+// maxBaselineFailureRate keeps the test defined when almost all requests fail.
 const maxBaselineFailureRate = 0.9
 
-// deviation returns a robust standard deviation around a centre.
+// deviation returns a robust standard deviation around a value, from the median absolute deviation.
 func deviation(values []float64, around float64) float64 {
 	const madToSigma = 1.4826
 	distances := make([]float64, len(values))
--- a/coord/health/budget.go
+++ b/coord/health/budget.go
@@ -2,12 +2,13 @@
 
 import "github.com/damaskcove/damaskcove/coord/fleet"
 
-// share returns how many of budget slots a judge may hold in ejections when it has
-// heard from heard of carriers instances.
+// budgetShare returns how many of budget slots an evaluator may remove when it holds the
+// votes of votes out of carriers instances.
 //
-// Let the judges of one set of carriers hear disjoint groups. At most one group is
-// larger than half; it gives up what the others could hold together, and the others
-// hold their part rounded down, so the shares add up to at most budget.
+// A carrier votes for one evaluator at a time, so the evaluators of one set of carriers hold
+// disjoint sets of votes and at most one holds a majority. The one with the majority gives up
+// what the others could remove together, and the others' shares are rounded down, so the
+// shares add up to at most budget.
 func budgetShare(budget, carriers, votes int) int {
 	if budget <= 0 || carriers <= 0 {
 		return 0
@@ -18,7 +19,7 @@
 	return votes * budget / carriers
 }
 
-// readySlots returns the slots of the endpoints that take work.
+// readySlots returns the total slots of the endpoints that accept requests.
 func readySlots(upstreams []fleet.Upstream) int {
 	total := 0
 	for _, u := range upstreams {
--- a/coord/health/carrier.go
+++ b/coord/health/carrier.go
@@ -7,17 +7,17 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// sentHistory is the number of sent messages whose time a carrier remembers.
+// evidenceHistory is the number of sent Evidence messages whose time a carrier keeps.
 const evidenceHistory = 64
 
-// sentEvidence is when and to whom a carrier sent one message.
+// sentEvidence records when and to whom a carrier sent one Evidence message.
 type sentEvidence struct {
 	sequence uint64
 	to       fleet.Ref
 	at       time.Time
 }
 
-// heldVerdict is the newest verdict of one judge.
+// heldDecision is the newest decision of one evaluator.
 type heldDecision struct {
 	sequence uint64
 	until    time.Time
@@ -25,7 +25,7 @@
 	removals []Removal
 }
 
-// Carrier is one instance's part in the health of one service: it reports its attempts and obeys verdicts.
+// Carrier reports one instance's attempts on one service and applies the evaluator's decisions.
 type Carrier struct {
 	self       fleet.Instance
 	cfg        Config
@@ -34,12 +34,12 @@
 	upstreams  []fleet.Upstream
 	byKey      map[EndpointKey]int
 
-	voteFrom   time.Time // A loan of an earlier life of this instance may run until then.
+	voteFrom   time.Time // A vote of an earlier incarnation of this instance may be valid until then.
 	votedFor   fleet.Ref
 	votedUntil time.Time
 
 	sequence uint64
-	ack      uint64 // Of the judge of assignment.
+	ack      uint64 // Number of the newest decision of the assigned evaluator.
 	sent     [evidenceHistory]sentEvidence
 	lastSent time.Time
 
@@ -47,7 +47,7 @@
 	trials    collector
 	decisions map[fleet.Ref]heldDecision
 
-	// Dropped counts the verdicts that Deliver refused.
+	// Dropped counts the decisions that Deliver rejected.
 	Dropped uint64
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// Configure sets the service's parameters, who judges it, and its endpoints as the platform lists them.
+// Configure sets the service's parameters, its assignment, and its endpoints as the platform lists them.
 func (c *Carrier) Configure(now time.Time, p Parameters, a Assignment, upstreams []fleet.Upstream) {
 	if c.voteFrom.IsZero() {
 		c.voteFrom = now.Add(c.cfg.VoteLease + c.cfg.DriftMargin)
@@ -79,7 +79,7 @@
 	}
 }
 
-// Observe takes one attempt.
+// Observe counts one attempt. Attempts on endpoints that are not listed are ignored.
 func (c *Carrier) Observe(_ time.Time, a Attempt) {
 	key := KeyOf(a.Endpoint)
 	if _, ok := c.byKey[key]; !ok {
@@ -114,7 +114,7 @@
 	return c.lastSent.IsZero() || now.Sub(c.lastSent) >= c.sendInterval()
 }
 
-// wait returns the time between two messages for what there is to report.
+// sendInterval returns the time between two messages, which depends on what there is to report.
 func (c *Carrier) sendInterval() time.Duration {
 	switch {
 	case c.requests.failed:
@@ -133,7 +133,8 @@
 	return c.sequence
 }
 
-// lend lends the carrier to a judge unless another one may still rely on it.
+// vote renews the carrier's vote for an evaluator. It returns false while a vote for another
+// evaluator, or of an earlier incarnation, may be valid.
 func (c *Carrier) vote(now time.Time, to fleet.Ref) bool {
 	if now.Before(c.voteFrom) {
 		return false
@@ -146,29 +147,29 @@
 	return true
 }
 
-// Deliver takes a verdict. It returns ErrVerdictDropped.
-func (c *Carrier) Deliver(now time.Time, from fleet.Ref, v *Decision) error {
-	sent := c.sent[v.Sequence%evidenceHistory]
-	if v.Sequence == 0 || sent.sequence != v.Sequence || sent.to != from {
-		return c.drop(from, v, "it answers nothing that was sent there lately")
+// Deliver handles a decision. A rejected one returns an error that wraps ErrDecisionDropped.
+func (c *Carrier) Deliver(now time.Time, from fleet.Ref, d *Decision) error {
+	sent := c.sent[d.Sequence%evidenceHistory]
+	if d.Sequence == 0 || sent.sequence != d.Sequence || sent.to != from {
+		return c.drop(from, d, "it answers no evidence recently sent to this evaluator")
 	}
 	until := sent.at.Add(c.cfg.Lease)
 	if !now.Before(until) {
-		return c.drop(from, v, "its lease has lapsed")
+		return c.drop(from, d, "its lease has expired")
 	}
-	if held, ok := c.decisions[from]; ok && held.sequence >= v.Sequence {
-		return c.drop(from, v, fmt.Sprintf("verdict %d is newer", held.sequence))
+	if held, ok := c.decisions[from]; ok && held.sequence >= d.Sequence {
+		return c.drop(from, d, fmt.Sprintf("the decision for sequence %d is newer", held.sequence))
 	}
-	c.decisions[from] = heldDecision{sequence: v.Sequence, until: until, received: now, removals: v.Removals}
+	c.decisions[from] = heldDecision{sequence: d.Sequence, until: until, received: now, removals: d.Removals}
 	if from == c.assignment.Evaluator {
-		c.ack = v.Number
+		c.ack = d.Number
 	}
 	return nil
 }
 
-func (c *Carrier) drop(from fleet.Ref, v *Decision, reason string) error {
+func (c *Carrier) drop(from fleet.Ref, d *Decision, reason string) error {
 	c.Dropped++
-	return fmt.Errorf("%w: sequence %d from %s for service %q: %s", ErrDecisionDropped, v.Sequence, from, c.params.Service, reason)
+	return fmt.Errorf("%w: sequence %d from %s for service %q: %s", ErrDecisionDropped, d.Sequence, from, c.params.Service, reason)
 }
 
 func (c *Carrier) dropExpired(now time.Time) {
--- a/coord/health/carrier_test.go
+++ b/coord/health/carrier_test.go
@@ -39,38 +39,38 @@
 }
 
 func eject(sequence uint64, endpoints ...int) *Decision {
-	v := &Decision{Sequence: sequence, Number: 1}
+	d := &Decision{Sequence: sequence, Number: 1}
 	for _, e := range endpoints {
-		v.Removals = append(v.Removals, Removal{Endpoint: KeyOf(endpointName(e)), State: StateEjected})
+		d.Removals = append(d.Removals, Removal{Endpoint: KeyOf(endpointName(e)), State: StateEjected})
 	}
-	return v
+	return d
 }
 
-func TestCarrierLendsItselfToOneJudgeAtATime(t *testing.T) {
+func TestCarrierVotesForOneEvaluatorAtATime(t *testing.T) {
 	cfg := DefaultConfig()
 	now := time.Unix(1000, 0)
 	c := newTestCarrier(now, first)
 	if send(t, c, now).Vote {
-		t.Fatal("a new life lends itself while a loan of the life before may run")
+		t.Fatal("a new incarnation votes while a vote of the earlier one may be valid")
 	}
 	now = now.Add(cfg.VoteLease + cfg.DriftMargin)
 	if !send(t, c, now).Vote {
-		t.Fatal("the carrier does not lend itself to its judge")
+		t.Fatal("the carrier does not vote for its evaluator")
 	}
 	configure(c, now, second)
 	for _, wait := range []time.Duration{cfg.VoteLease / 2, cfg.VoteLease/2 - time.Millisecond} {
 		now = now.Add(wait)
 		if send(t, c, now).Vote {
-			t.Fatalf("the carrier is lent to two judges %v after the first loan", wait)
+			t.Fatalf("the carrier votes for a second evaluator %v after its first vote", wait)
 		}
 	}
 	now = now.Add(cfg.KeepAlive)
 	if !send(t, c, now).Vote {
-		t.Fatal("the carrier does not lend itself to its new judge")
+		t.Fatal("the carrier does not vote for its new evaluator")
 	}
 }
 
-func TestCarrierCountsTheLeaseFromItsOwnMessage(t *testing.T) {
+func TestLeaseStartsWhenCarrierSendsEvidence(t *testing.T) {
 	cfg := DefaultConfig()
 	start := time.Unix(1000, 0)
 	c := newTestCarrier(start, first)
@@ -83,11 +83,11 @@
 		t.Fatalf("state %d, want ejected", got)
 	}
 	if got := c.View(start.Add(cfg.Lease))[0].State; got != StateInService {
-		t.Fatalf("state %d one lease after the evidence, want open", got)
+		t.Fatalf("state %d one lease after the evidence, want in service", got)
 	}
 }
 
-func TestCarrierDropsVerdicts(t *testing.T) {
+func TestCarrierDropsInvalidDecisions(t *testing.T) {
 	cfg := DefaultConfig()
 	start := time.Unix(1000, 0)
 	c := newTestCarrier(start, first)
@@ -98,24 +98,24 @@
 		t.Fatal(err)
 	}
 	for name, f := range map[string]func() error{
-		"replayed":         func() error { return c.Deliver(now, first, eject(two.Sequence, 0)) },
-		"older":            func() error { return c.Deliver(now, first, eject(one.Sequence, 0)) },
-		"of another judge": func() error { return c.Deliver(now, second, eject(two.Sequence, 0)) },
-		"of nothing":       func() error { return c.Deliver(now, first, eject(77, 0)) },
+		"replayed":             func() error { return c.Deliver(now, first, eject(two.Sequence, 0)) },
+		"older":                func() error { return c.Deliver(now, first, eject(one.Sequence, 0)) },
+		"of another evaluator": func() error { return c.Deliver(now, second, eject(two.Sequence, 0)) },
+		"without evidence":     func() error { return c.Deliver(now, first, eject(77, 0)) },
 		"late": func() error {
 			return c.Deliver(start.Add(cfg.KeepAlive+cfg.Lease), first, eject(two.Sequence, 0))
 		},
 	} {
 		if err := f(); !errors.Is(err, ErrDecisionDropped) {
-			t.Errorf("verdict %s: error %v, want %v", name, err, ErrDecisionDropped)
+			t.Errorf("decision %s: error %v, want %v", name, err, ErrDecisionDropped)
 		}
 	}
 	if c.Dropped != 5 || c.View(now)[0].State != StateInService {
-		t.Fatalf("dropped %d verdicts, want 5; state %d, want open", c.Dropped, c.View(now)[0].State)
+		t.Fatalf("dropped %d decisions, want 5; state %d, want in service", c.Dropped, c.View(now)[0].State)
 	}
 }
 
-func TestCarrierRefusesVerdictsBelowTheFloor(t *testing.T) {
+func TestCarrierKeepsFloorDespiteDecision(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestCarrier(now, first)
 	e := send(t, c, now)
@@ -124,6 +124,6 @@
 	}
 	views := c.View(now)
 	if views[0].State != StateEjected || views[1].State != StateInService || !views[1].AtFloor {
-		t.Fatalf("views %+v, want the worst ejected and the other held in service by the floor", views)
+		t.Fatalf("views %+v, want the first ejected and the second kept in service by the floor", views)
 	}
 }
--- a/coord/health/carrier_view.go
+++ b/coord/health/carrier_view.go
@@ -8,8 +8,8 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// View returns every endpoint of the service, in the order of the list. Removals that
-// would take the view below the floor are left out of it, the least bad first.
+// View returns every endpoint of the service, in the order of the platform's list. It leaves out
+// removals that would break the floor, those with the lowest score first.
 func (c *Carrier) View(now time.Time) []EndpointView {
 	views := make([]EndpointView, len(c.upstreams))
 	for i, u := range c.upstreams {
@@ -22,7 +22,7 @@
 	return views
 }
 
-// judgesByNewest returns the judges whose verdict is alive, the newest verdict first.
+// evaluatorsByNewest returns the evaluators with an unexpired decision, the newest decision first.
 func (c *Carrier) evaluatorsByNewest(now time.Time) []fleet.Ref {
 	var evaluators []fleet.Ref
 	for evaluator, held := range c.decisions {
@@ -36,7 +36,7 @@
 	return evaluators
 }
 
-// apply marks the removals of one judge's verdict while spare slots last, and returns the slots left.
+// applyRemovals marks the removals of one evaluator's decision while spare slots last, and returns the slots left.
 func (c *Carrier) applyRemovals(views []EndpointView, evaluator fleet.Ref, spare int) int {
 	held := c.decisions[evaluator]
 	for _, r := range held.removals {
@@ -64,7 +64,7 @@
 	return spare
 }
 
-// removes reports whether a state takes an endpoint out of normal service.
+// isRemoved reports whether a state takes an endpoint out of normal service.
 func isRemoved(s State) bool {
 	return s == StateEjected || s == StateAvoided || s == StateTrial
 }
--- a/coord/health/collector.go
+++ b/coord/health/collector.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// maxLatencyPairs bounds the bins of one report.
+// maxLatencyPairs bounds the number of latency bins in one report.
 const maxLatencyPairs = 32
 
-// tally sums up the attempts on one endpoint.
+// tally counts the attempts on one endpoint.
 type tally struct {
 	requests uint32
 	failures uint32
 	bins     map[uint8]uint8
 }
 
-// collector sums up attempts per endpoint between two messages.
+// collector counts the attempts per endpoint between two Evidence messages.
 type collector struct {
 	tallies map[EndpointKey]*tally
-	failed  bool // An attempt failed.
+	failed  bool // At least one attempt failed.
 }
 
 func newCollector() collector {
@@ -48,7 +48,7 @@
 	t.addLatency(binOf(a.Latency))
 }
 
-// addLatency counts a latency. Over the bounds of a report it is left out; the request still counts.
+// addLatency counts a latency. One that exceeds the bounds of a report is left out; its request still counts.
 func (t *tally) addLatency(bin uint8) {
 	count, known := t.bins[bin]
 	if count == maxBinCount || (!known && len(t.bins) == maxLatencyPairs) {
@@ -57,7 +57,7 @@
 	t.bins[bin] = count + 1
 }
 
-// take returns the reports so far, by endpoint, and starts anew.
+// take returns the reports in the order of their endpoint keys and resets the collector.
 func (c *collector) take() []Report {
 	if c.empty() {
 		return nil
@@ -72,7 +72,7 @@
 	return reports
 }
 
-// latency returns the bins with their counts, in ascending order of the bin.
+// latency returns pairs of a bin and its count, in ascending order of the bin.
 func (t *tally) latency() []byte {
 	bins := slices.Sorted(maps.Keys(t.bins))
 	pairs := make([]byte, 0, 2*len(bins))
--- a/coord/health/config.go
+++ b/coord/health/config.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Config holds the times of the protocol. Carriers and judges of a fleet use the same values.
+// Config holds the times of the protocol. All carriers and evaluators of a fleet use the same values.
 type Config struct {
 	Interval       time.Duration // Between two Evidence messages while there are attempts to report.
 	UrgentInterval time.Duration // Between two Evidence messages while there are failed attempts to report.
 	KeepAlive      time.Duration // Between two Evidence messages without attempts.
-	Lease          time.Duration // A verdict's life, from the sending of the evidence that it answers.
-	VoteLease      time.Duration // A carrier's loan to a judge, from the sending of evidence.
-	DriftMargin    time.Duration // Drift of two clocks over one Loan.
+	Lease          time.Duration // Validity of a decision, from when the evidence that it answers was sent.
+	VoteLease      time.Duration // Validity of a carrier's vote for an evaluator, from when the evidence was sent.
+	DriftMargin    time.Duration // Largest drift between two clocks over one VoteLease.
 	Hold           time.Duration // First time out of service before trial requests.
 	HoldMax        time.Duration // Longest time out of service before trial requests.
 	HoldDecay      time.Duration // Time in service after which one doubling of Hold is undone.
@@ -30,12 +30,14 @@
 	}
 }
 
-// heardFor is the time since a judge's message for which it may rely on a carrier that echoed it.
+// voteValidity is the time, from when an evaluator sent a decision, for which it may count the vote of
+// a carrier that acknowledged the decision. A decision that relies on the vote then expires
+// before the vote does.
 func (c Config) voteValidity() time.Duration {
 	return c.VoteLease - c.Lease - c.DriftMargin
 }
 
-// spentFor is the time for which an ejection that a verdict named counts against the budget.
+// chargeDuration is the time for which a removal in a decision counts against the budget.
 func (c Config) chargeDuration() time.Duration {
 	return c.Lease + c.DriftMargin
 }
--- a/coord/health/confirm.go
+++ b/coord/health/confirm.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// Comparing an endpoint with its peers over the time in which its score rose.
+// Parameters of the comparison of an endpoint with its peers over the time in which its score rose.
 const (
-	snapshotShare   = 0.25 // Of the limit: the score from which that time counts.
-	confirmShare    = 0.5  // Of the limit: the score that must remain against the peers.
-	trimDivisor     = 3    // One in so many peers, the worst ones, is left out.
-	priorWeight     = 2.0  // Requests by which the long-term centre weighs.
-	minPeerRequests = 3.0  // Requests of the peers without which nothing is confirmed.
-	minPeerShare    = 0.5  // Least requests of the peers over those of the endpoint.
-	maxPeerGain     = -1.0 // Nats: the most that the peers' requests may speak for the same fault.
+	snapshotShare   = 0.25 // Share of the limit: the score at which that time starts.
+	confirmShare    = 0.5  // Share of the limit: the score that the comparison must reach.
+	trimDivisor     = 3    // One in this many peers is left out, the worst first.
+	priorWeight     = 2.0  // Weight of the long-term baseline, in requests.
+	minPeerRequests = 3.0  // Least requests of the peers for a confirmation.
+	minPeerShare    = 0.5  // Least ratio of the peers' requests to the endpoint's.
+	maxPeerGain     = -1.0 // Largest gain of the peers on the same test, in nats; above it they may share the failure.
 )
 
-// sample is what one peer's requests looked like.
+// sample sums up the requests of one peer, or of several.
 type sample struct {
 	count float64
-	sum   float64
+	sum   float64 // Of failures, or of residuals.
 	gain  float64 // Of the same test, in nats.
 }
 
-// pool adds up samples without the worst of them.
+// trimmedSum adds up the samples without the worst ones.
 func trimmedSum(samples []sample) sample {
 	slices.SortFunc(samples, func(a, b sample) int {
 		return cmp.Compare(a.sum/a.count, b.sum/b.count)
@@ -39,15 +39,15 @@
 	return total
 }
 
-// enough reports whether the peers' sample is large enough for a comparison with the
-// endpoint's requests, and speaks for health.
-func comparable(peers sample, own float64) bool {
+// usablePeers reports whether the peers' sample is large enough for a comparison with the
+// endpoint's requests and shows the peers healthy.
+func usablePeers(peers sample, own float64) bool {
 	return peers.count >= max(minPeerRequests, minPeerShare*own) && peers.gain <= maxPeerGain
 }
 
-// confirmFailures reports whether an endpoint fails more than its peers did over the same time.
-func confirmFailures(c baseline, extraShare float64, own totals, peers []totals, limit float64) bool {
-	failed, answered := failureGains(c.failureRate, extraShare)
+// confirmFailures reports whether an endpoint failed more requests than its peers over the same time.
+func confirmFailures(b baseline, extraShare float64, own totals, peers []totals, limit float64) bool {
+	failed, answered := failureGains(b.failureRate, extraShare)
 	var samples []sample
 	for _, p := range peers {
 		if p.requests > 0 {
@@ -56,17 +56,17 @@
 		}
 	}
 	pooled := trimmedSum(samples)
-	if !comparable(pooled, own.requests) {
+	if !usablePeers(pooled, own.requests) {
 		return false
 	}
-	peerRate := (pooled.sum + priorWeight*c.failureRate) / (pooled.count + priorWeight)
-	peerRate = min(max(peerRate, c.failureRate), maxBaselineFailureRate)
+	peerRate := (pooled.sum + priorWeight*b.failureRate) / (pooled.count + priorWeight)
+	peerRate = min(max(peerRate, b.failureRate), maxBaselineFailureRate)
 	failed, answered = failureGains(peerRate, extraShare)
 	return own.failures*failed+(own.requests-own.failures)*answered >= confirmShare*limit
 }
 
-// confirmSlowness reports whether an endpoint is slower than its peers were over the same time.
-func confirmSlowness(c baseline, own totals, peers []totals, limit float64) bool {
+// confirmSlowness reports whether an endpoint was slower than its peers over the same time.
+func confirmSlowness(b baseline, own totals, peers []totals, limit float64) bool {
 	var samples []sample
 	for _, p := range peers {
 		if p.answers > 0 {
@@ -74,13 +74,13 @@
 		}
 	}
 	pooled := trimmedSum(samples)
-	if own.answers == 0 || !comparable(pooled, own.answers) {
+	if own.answers == 0 || !usablePeers(pooled, own.answers) {
 		return false
 	}
 	peerMean := max(pooled.sum/(pooled.count+priorWeight), 0)
 	ownMean := own.residuals/own.answers - peerMean
-	shift := c.slowShift()
-	gain := own.answers * shift / (c.sigma * c.sigma) * (ownMean - shift/2)
+	shift := b.slowShift()
+	ownGain := own.answers * shift / (b.sigma * b.sigma) * (ownMean - shift/2)
 	uncertainty := math.Sqrt(1 + own.answers/pooled.count)
-	return gain/uncertainty >= confirmShare*limit
+	return ownGain/uncertainty >= confirmShare*limit
 }
--- a/coord/health/decide.go
+++ b/coord/health/decide.go
@@ -7,10 +7,11 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// trafficAge is the time for which a carrier's last request on an endpoint shows that it sends requests there.
+// trafficWindow is the time after a request for which a carrier counts as sending requests to the endpoint.
 const trafficWindow = time.Minute
 
-// observeRequests takes one carrier's report on an endpoint, and reports whether it is in service there.
+// observeRequests adds one carrier's report to the tests on an endpoint. It returns false when the
+// endpoint is out of service for that carrier, or not ready, and the report does not count.
 func (ev *Evaluator) observeRequests(now time.Time, ep *endpointState, carrier int, r Report) bool {
 	zone := ev.zoneOf[carrier]
 	if !ep.ready() {
@@ -28,7 +29,7 @@
 	return true
 }
 
-// outFor reports whether an endpoint is out of service for a zone's carriers.
+// outForZone reports whether an endpoint is out of service for a zone's carriers.
 func (ev *Evaluator) outForZone(ep *endpointState, zone int) bool {
 	if !ep.removed() {
 		return false
@@ -36,7 +37,8 @@
 	return ep.removal.zones == nil || slices.Contains(ep.removal.zones, ev.zones[zone])
 }
 
-// mark keeps the totals of all endpoints when a score rises over a quarter of the limit.
+// updateSnapshot keeps the totals of all endpoints from when a score reached snapshotShare of the
+// limit. Below that it drops them.
 func (ev *Evaluator) updateSnapshot(ep *endpointState, s int) {
 	for k := range ep.scopes[s].tests {
 		test := &ep.scopes[s].tests[k]
@@ -58,7 +60,7 @@
 	return all
 }
 
-// decide takes an endpoint out of service if the tests say so.
+// decide takes an endpoint out of service if a test shows it unhealthy.
 func (ev *Evaluator) decide(now time.Time, ep *endpointState, zone int) {
 	if ep.removed() && ep.removal.zones == nil {
 		return
@@ -89,11 +91,12 @@
 	ev.remove(now, ep, zones, causeOf(test), score)
 }
 
-// agreedPart is the part of the limit that the score must reach without the carrier that
-// contributed most to it.
+// agreementShare is the share of the limit that the score must reach without the carrier that
+// contributed most to it, so that one carrier alone cannot remove an endpoint that others use.
 const agreementShare = 2.0 / 3
 
-// sick returns a test over a scope that has passed the limit, if several carriers agree and the peers are healthier.
+// unhealthyTest returns a test of a scope whose score has reached the limit, if several carriers
+// agree and the peers are healthier. A score that the peers do not confirm is scaled back.
 func (ev *Evaluator) unhealthyTest(now time.Time, ep *endpointState, s int) (int, bool) {
 	limit := ev.operating.Limit
 	for i := range ep.scopes[s].tests {
@@ -113,7 +116,7 @@
 	return 0, false
 }
 
-// carriersWithTraffic counts the carriers of a scope that send requests to an endpoint.
+// carriersWithTraffic returns the number of carriers of a scope that send requests to an endpoint.
 func (ev *Evaluator) carriersWithTraffic(now time.Time, ep *endpointState, s int) int {
 	count := 0
 	for carrier, at := range ep.lastRequests {
@@ -147,7 +150,8 @@
 	return confirmFailures(ev.baselines[s], extraFailureShares[test], own, peers, ev.operating.Limit)
 }
 
-// onlyZone returns the zone whose carriers alone find an endpoint sick, if others send requests there in health.
+// soleUnhealthyZone returns the only zone whose carriers find an endpoint unhealthy, if carriers of
+// other zones send requests to it and find it healthy.
 func (ev *Evaluator) soleUnhealthyZone(now time.Time, ep *endpointState, test int) (int, bool) {
 	byZone := make([]float64, len(ev.zones))
 	for carrier, part := range ep.scopes[0].tests[test].byCarrier {
--- a/coord/health/detect_test.go
+++ b/coord/health/detect_test.go
@@ -11,7 +11,7 @@
 
 const settleTime = 10 * time.Second
 
-func TestSickEndpointIsEjected(t *testing.T) {
+func TestUnhealthyEndpointIsEjected(t *testing.T) {
 	for name, unhealthy := range map[string]behaviour{
 		"failing 10%": {failing: 0.1, slow: 1}, "failing 30%": {failing: 0.3, slow: 1}, "failing 100%": {failing: 1, slow: 1},
 		"slow 3x": {slow: 3}, "slow 10x": {slow: 10},
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestCommonFaultEjectsNobody(t *testing.T) {
+func TestSharedFailureEjectsNoEndpoint(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		degraded := behaviour{
 			failing: rapid.SampledFrom([]float64{0.002, 0.1, 0.3, 1}).Draw(rt, "failing"),
@@ -51,15 +51,15 @@
 		}
 		h.run(settleTime, func() bool { return h.anyOutExcept(-1) })
 		if h.anyOutExcept(-1) {
-			rt.Fatalf("a fault of all endpoints %+v ejected one", degraded)
+			rt.Fatalf("failure %+v of all endpoints ejected one", degraded)
 		}
 	})
 }
 
-func TestOneLyingCarrierEjectsNobody(t *testing.T) {
+func TestOneCarrierWithFalseReportsEjectsNoEndpoint(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		carriers := rapid.IntRange(2, 12).Draw(rt, "carriers")
-		falseReporter := rapid.IntRange(0, carriers-1).Draw(rt, "liar")
+		falseReporter := rapid.IntRange(0, carriers-1).Draw(rt, "false reporter")
 		target := rapid.IntRange(0, 6).Draw(rt, "endpoint")
 		slow := rapid.Bool().Draw(rt, "slow")
 		count := rapid.Uint32Range(1, 200).Draw(rt, "count")
@@ -87,13 +87,13 @@
 		for i, c := range h.carriers {
 			state := c.View(h.now)[target].State
 			if state != StateInService && (carriersInZone > 1 || c.self.Zone != zone) {
-				rt.Fatalf("carrier %d of %d has the endpoint in state %d because carrier %d lies", i, carriers, state, falseReporter)
+				rt.Fatalf("carrier %d of %d has the endpoint in state %d because of false reports from carrier %d", i, carriers, state, falseReporter)
 			}
 		}
 	})
 }
 
-func TestZoneThatCannotReachAvoids(t *testing.T) {
+func TestEndpointUnreachableFromZoneIsAvoidedThere(t *testing.T) {
 	h := newHarness(3, 7, 12, 12, 30)
 	h.run(settleTime, nil)
 	h.behave = func(e int, z fleet.Zone) behaviour {
@@ -125,7 +125,7 @@
 	}
 	h.run(settleTime, nil)
 	if h.outCount(2) == 0 {
-		t.Fatal("sick endpoint is in service")
+		t.Fatal("unhealthy endpoint is in service")
 	}
 	held := h.run(10*time.Minute, func() bool {
 		for _, d := range h.evaluator.Transitions() {
@@ -155,7 +155,7 @@
 	}
 	h.run(settleTime, nil)
 	if h.outCount(2) != 12 {
-		t.Fatalf("sick endpoint is out at %d of 12 carriers", h.outCount(2))
+		t.Fatalf("unhealthy endpoint is out at %d of 12 carriers", h.outCount(2))
 	}
 	h.now = h.now.Add(DefaultConfig().Lease)
 	if h.outCount(2) != 0 {
@@ -163,8 +163,8 @@
 	}
 }
 
-func TestFloorHoldsBackTheLeastBad(t *testing.T) {
-	h := newHarness(6, 7, 12, 18, 30) // One endpoint of three slots may go.
+func TestFloorKeepsOneOfTwoUnhealthyEndpoints(t *testing.T) {
+	h := newHarness(6, 7, 12, 18, 30) // The floor lets one endpoint of three slots be ejected.
 	h.behave = func(e int, _ fleet.Zone) behaviour {
 		if e == 2 || e == 4 {
 			return behaviour{failing: 1, slow: 1}
@@ -182,6 +182,6 @@
 		}
 	}
 	if atFloor != 1 {
-		t.Fatalf("%d endpoints are held in service by the floor, want 1", atFloor)
+		t.Fatalf("%d endpoints are kept in service by the floor, want 1", atFloor)
 	}
 }
--- a/coord/health/detector.go
+++ b/coord/health/detector.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Cause says what a score speaks of.
+// Cause is the kind of failure that a test detects.
 type Cause uint8
 
 // Causes of a removal.
 const (
 	CauseFailures Cause = iota // Requests fail.
-	CauseSlowness              // Answers are late.
+	CauseSlowness              // Answers are slow.
 )
 
-// String returns the word that logs use.
+// String returns the name used in logs.
 func (c Cause) String() string {
 	if c == CauseFailures {
 		return "failures"
@@ -19,11 +19,11 @@
 	return "slowness"
 }
 
-// causes is the number of causes.
+// numCauses is the number of causes.
 const numCauses = 2
 
-// The sequential tests on an endpoint. Two look for failures, since one alternative
-// cannot be near both an endpoint that fails some of its work and one that fails all.
+// The sequential tests on an endpoint. Two look for failures, since one alternative hypothesis
+// cannot be close both to an endpoint that fails some requests and to one that fails all.
 const (
 	testSomeFail = iota
 	testMostFail
@@ -31,7 +31,7 @@
 	numTests
 )
 
-// causeOf returns what a test speaks of.
+// causeOf returns the cause that a test detects.
 func causeOf(test int) Cause {
 	if test == testSlow {
 		return CauseSlowness
@@ -39,7 +39,7 @@
 	return CauseFailures
 }
 
-// totals count the requests of one endpoint since it was first seen.
+// totals are the sums over the requests of one endpoint since it was first seen.
 type totals struct {
 	requests  float64
 	failures  float64
@@ -58,26 +58,27 @@
 	}
 }
 
-// cusum is a cumulative-sum test: the sum of gains since it was last zero.
+// cusum is a cumulative-sum test: score is the sum of the gains since it was last zero, and never negative.
 type cusum struct {
 	score     float64
-	byCarrier []float64 // Part of each carrier in score.
-	// marks hold the totals of every endpoint from the time at which score rose over
-	// a quarter of the limit; nil while it is below.
+	byCarrier []float64 // Contribution of each carrier to score.
+	// snapshot holds the totals of every endpoint from when score reached snapshotShare of
+	// the limit; nil while score is below it.
 	snapshot []totals
-	// growth is what the score may still grow by at the time grownAt, if it is bounded.
+	// growthLeft is how much the score may still grow at time growthAt, for a test whose
+	// growth is limited.
 	growthLeft float64
 	growthAt   time.Time
 }
 
-// Bounds of the growth of the slowness test, in limits. Requests that run at the same
-// time share a short stall, and so do not speak for themselves.
+// Token bucket for the growth of the slowness test, in multiples of the limit. A short stall
+// slows all requests that run at the time, so they are not independent samples.
 const (
 	growthBurst     = 0.25
 	growthPerSecond = 0.8
 )
 
-// boundGrowth returns as much of a gain as the score may grow by at this time.
+// limitGrowth returns the part of a gain that the score may grow by now.
 func (c *cusum) limitGrowth(now time.Time, gain, limit float64) float64 {
 	burst := growthBurst * limit
 	if c.growthAt.IsZero() {
@@ -106,7 +107,7 @@
 	}
 }
 
-// scoreCap bounds a score, in limits, so that an endpoint that recovers is seen to.
+// scoreCap bounds a score, in multiples of the limit, so that it falls soon after an endpoint recovers.
 const scoreCap = 2.0
 
 func (c *cusum) scale(factor float64) {
@@ -122,7 +123,7 @@
 	clear(c.byCarrier)
 }
 
-// withoutLargest returns the score without the carrier that contributed most to it.
+// scoreWithoutLargest returns the score without the carrier that contributed most to it.
 func (c *cusum) scoreWithoutLargest() float64 {
 	largest := 0.0
 	for _, part := range c.byCarrier {
@@ -131,7 +132,7 @@
 	return c.score - largest
 }
 
-// scope is what a judge knows of one endpoint from all carriers, or from those of one zone.
+// scope holds the tests on one endpoint over the reports of all carriers, or of those of one zone.
 type scope struct {
 	averages averages
 	totals   totals
@@ -146,11 +147,11 @@
 	return s
 }
 
-// observe takes one carrier's report into the scope.
-func (s *scope) observe(now time.Time, c baseline, r Report, carrier int, limit float64) {
+// observe adds one carrier's report to the averages, totals and tests.
+func (s *scope) observe(now time.Time, b baseline, r Report, carrier int, limit float64) {
 	requests, failures := float64(r.Requests), float64(r.Failures)
 	for test, extraShare := range extraFailureShares {
-		failed, answered := failureGains(c.failureRate, extraShare)
+		failed, answered := failureGains(b.failureRate, extraShare)
 		s.tests[test].add(failures*failed+(requests-failures)*answered, carrier, limit)
 	}
 	s.averages.addRequests(requests, failures)
@@ -159,20 +160,20 @@
 	slow := 0.0
 	for i := 0; i+1 < len(r.Latency); i += 2 {
 		count := float64(r.Latency[i+1])
-		residual := c.residual(r.Latency[i])
-		slow += count * c.slowGain(residual)
+		residual := b.residual(r.Latency[i])
+		slow += count * b.slowGain(residual)
 		s.averages.addAnswers(count, logOfBin(r.Latency[i]))
 		s.totals.answers += count
 		s.totals.residuals += count * residual
 	}
 	s.totals.slowGain += slow
-	if c.latencyKnown {
+	if b.latencyKnown {
 		test := &s.tests[testSlow]
 		test.add(test.limitGrowth(now, slow, limit), carrier, limit)
 	}
 }
 
-// resetTests forgets what the tests have summed up.
+// resetTests sets the scores of all tests to zero.
 func (s *scope) resetTests() {
 	for i := range s.tests {
 		s.tests[i].reset()
--- a/coord/health/endpoint.go
+++ b/coord/health/endpoint.go
@@ -7,18 +7,18 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// tracked is what a judge knows of one endpoint.
+// endpointState is an evaluator's state of one endpoint.
 type endpointState struct {
 	upstream     fleet.Upstream
 	key          EndpointKey
 	scopes       []scope     // All carriers, then each zone.
-	lastRequests []time.Time // Last request of each carrier.
+	lastRequests []time.Time // When each carrier's last report of requests arrived.
 	removal      removal
 }
 
-// removal is an endpoint's way out of service and back.
+// removal is the progress of an endpoint out of service and back.
 type removal struct {
-	state         State        // StateOpen, StateEjected, StateAvoided or StateTrial.
+	state         State        // One of the States; StateInService when not removed.
 	zones         []fleet.Zone // Whose carriers avoid it; nil for all.
 	cause         Cause
 	score         float64
@@ -29,7 +29,7 @@
 	trialScores   [numCauses]float64
 	trialRequests int
 	lastTrial     time.Time
-	atFloor       bool // The last verdict left it in service because of the budget.
+	atFloor       bool // The last decision left it in service because of the budget.
 }
 
 func newEndpointState(u fleet.Upstream, zones, carriers int) *endpointState {
@@ -39,7 +39,7 @@
 	return ep
 }
 
-// setCarriers starts the tests anew for another set of carriers. The averages over all carriers are kept.
+// setCarriers restarts the tests for another set of carriers. The averages over all carriers are kept.
 func (ep *endpointState) setCarriers(zones, carriers int) {
 	var kept averages
 	if len(ep.scopes) > 0 {
@@ -74,7 +74,7 @@
 	}
 }
 
-// score returns the highest score of any test, over all carriers or those of one zone.
+// score returns the highest score of any test in any scope.
 func (ep *endpointState) score() float64 {
 	highest := 0.0
 	for s := range ep.scopes {
@@ -85,7 +85,7 @@
 	return highest
 }
 
-// setEndpoints takes over the platform's list. What is known of an endpoint that stays is kept.
+// setEndpoints applies the platform's list. It keeps the state of endpoints that stay on it.
 func (ev *Evaluator) setEndpoints(upstreams []fleet.Upstream, carriersChanged bool) {
 	before := ev.endpoints
 	ev.endpoints = make([]*endpointState, 0, len(upstreams))
@@ -109,7 +109,8 @@
 	}
 }
 
-// setUpstream takes what the list says of the endpoint. One that is not ready is judged anew later.
+// setUpstream applies the list's entry of the endpoint. For one that is not ready the tests and the
+// removal start over.
 func (ep *endpointState) setUpstream(u fleet.Upstream) {
 	ep.upstream = u
 	if u.State == fleet.UpstreamReady {
@@ -119,7 +120,7 @@
 	ep.removal = removal{state: StateInService, holdDoublings: ep.removal.holdDoublings, returned: ep.removal.returned}
 }
 
-// dropMarks starts the comparisons with peers anew, since marks are by position in the list.
+// dropSnapshots restarts the comparisons with peers, since snapshots are indexed by position in the list.
 func (ev *Evaluator) dropSnapshots() {
 	for _, ep := range ev.endpoints {
 		for i := range ep.scopes {
--- a/coord/health/evaluator.go
+++ b/coord/health/evaluator.go
@@ -8,14 +8,14 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Evaluator decides for one service which endpoints are out of service.
+// Evaluator decides which endpoints of one service are out of service.
 type Evaluator struct {
 	self          fleet.Instance
 	cfg           Config
 	params        Parameters
 	assignment    Assignment
 	operating     OperatingPoint
-	noBudgetUntil time.Time // Loans of a set of carriers that this judge does not know may run until then.
+	noBudgetUntil time.Time // Votes of a set of carriers that is not in Assignment.Former may be valid until then.
 
 	carriers map[fleet.Ref]int // Index among assignment.Carriers.
 	voters   map[fleet.Ref]*voter
@@ -28,14 +28,14 @@
 	baselinesAt time.Time
 
 	ledger      ledger
-	number      uint64
+	number      uint64 // Of the last decision.
 	transitions []Transition
 
-	// Dropped counts the evidence that Deliver refused.
+	// Dropped counts the evidence that Deliver rejected.
 	Dropped uint64
 }
 
-// NewEvaluator returns the judge of one service at an instance.
+// NewEvaluator returns the evaluator of one service at an instance.
 func NewEvaluator(self fleet.Instance, cfg Config) *Evaluator {
 	return &Evaluator{
 		self:   self,
@@ -48,7 +48,7 @@
 // Configure sets the service's parameters, its carriers, and its endpoints as the platform lists them.
 func (ev *Evaluator) Configure(now time.Time, p Parameters, a Assignment, upstreams []fleet.Upstream) {
 	if ev.number == 0 {
-		ev.number = uint64(now.UnixNano()) // Apart from the numbers of an earlier judge of this instance.
+		ev.number = uint64(now.UnixNano()) // Distinct from the numbers of an earlier evaluator of this instance.
 	}
 	changed := !sameCarriers(ev.assignment.Carriers, a.Carriers)
 	if changed && !isFormer(a, ev.assignment.Carriers) {
@@ -65,12 +65,12 @@
 	ev.updateBaselines(now)
 }
 
-// sameCarriers reports whether two lists hold the same lives of instances in the same order.
+// sameCarriers reports whether two lists hold the same incarnations of instances, in the same zones and order.
 func sameCarriers(a, b []fleet.Instance) bool {
 	return slices.EqualFunc(a, b, func(x, y fleet.Instance) bool { return x.Ref == y.Ref && x.Zone == y.Zone })
 }
 
-// knownFormer reports whether an assignment lists a set of carriers among its former ones.
+// isFormer reports whether a set of carriers is one of an assignment's former sets.
 func isFormer(a Assignment, carriers []fleet.Instance) bool {
 	if carriers == nil {
 		return false
@@ -93,39 +93,40 @@
 	}
 }
 
-// keepLoans forgets the loans of instances that are in no set of carriers any more.
+// updateVoters adds the new carriers and drops the instances that are in no current or former set of carriers.
 func (ev *Evaluator) updateVoters() {
-	wanted := make(map[fleet.Ref]*voter)
+	updated := make(map[fleet.Ref]*voter)
 	for _, set := range append([][]fleet.Instance{ev.assignment.Carriers}, ev.assignment.Former...) {
 		for _, c := range set {
-			if l := ev.voters[c.Ref]; l != nil {
-				wanted[c.Ref] = l
-			} else if wanted[c.Ref] == nil {
-				wanted[c.Ref] = &voter{}
+			if v := ev.voters[c.Ref]; v != nil {
+				updated[c.Ref] = v
+			} else if updated[c.Ref] == nil {
+				updated[c.Ref] = &voter{}
 			}
 		}
 	}
-	ev.voters = wanted
+	ev.voters = updated
 }
 
-// Deliver takes evidence and returns the verdict that answers it. It returns ErrEvidenceDropped.
+// Deliver handles evidence and returns the decision that answers it. Rejected evidence returns an
+// error that wraps ErrEvidenceDropped.
 func (ev *Evaluator) Deliver(now time.Time, from fleet.Ref, e *Evidence) ([]Send, error) {
-	l := ev.voters[from]
-	if l == nil {
+	v := ev.voters[from]
+	if v == nil {
 		return nil, ev.drop(from, "the sender is not a carrier")
 	}
 	if e.Revision != ev.params.Revision {
-		return nil, ev.drop(from, fmt.Sprintf("its parameters have revision %d, want %d", e.Revision, ev.params.Revision))
+		return nil, ev.drop(from, fmt.Sprintf("its parameter revision is %d, want %d", e.Revision, ev.params.Revision))
 	}
-	if e.Sequence <= l.sequence {
-		return nil, ev.drop(from, fmt.Sprintf("sequence %d is not above %d", e.Sequence, l.sequence))
+	if e.Sequence <= v.sequence {
+		return nil, ev.drop(from, fmt.Sprintf("sequence %d is not above %d", e.Sequence, v.sequence))
 	}
 	if err := e.validate(); err != nil {
 		return nil, ev.drop(from, err.Error())
 	}
-	l.sequence = e.Sequence
+	v.sequence = e.Sequence
 	if e.Vote {
-		l.recordAck(e.Ack, ev.cfg.voteValidity())
+		v.recordAck(e.Ack, ev.cfg.voteValidity())
 	}
 	if carrier, ok := ev.carriers[from]; ok {
 		ev.observe(now, carrier, e)
@@ -145,7 +146,7 @@
 			reported = append(reported, ep)
 		}
 	}
-	for _, ep := range reported { // Only now, so that the peers' part of the message is known.
+	for _, ep := range reported { // After the loop above, so that the message's reports on the peers count.
 		ev.decide(now, ep, ev.zoneOf[carrier])
 	}
 	for _, r := range e.Trials {
@@ -155,7 +156,8 @@
 	}
 }
 
-// Tick moves probation on. Verdicts are only ever answers, so it returns nothing to send.
+// Tick updates the baselines and starts and ends trial requests. Decisions are sent only as
+// answers to evidence, so it returns nothing to send.
 func (ev *Evaluator) Tick(now time.Time) []Send {
 	if now.Sub(ev.baselinesAt) >= ev.cfg.Interval {
 		ev.updateBaselines(now)
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// recentre computes anew what a healthy request looks like.
+// updateBaselines recomputes what a healthy request looks like, over all carriers and per zone.
 func (ev *Evaluator) updateBaselines(now time.Time) {
 	ev.baselinesAt = now
 	ev.baselines = make([]baseline, 1+len(ev.zones))
@@ -183,7 +185,7 @@
 	}
 }
 
-// Budget returns the slots that this judge may hold in ejections now, and the carriers it has heard from.
+// Budget returns the slots that this evaluator may remove now, and the carriers with a valid vote for it.
 func (ev *Evaluator) Budget(now time.Time) (slots, votes int) {
 	votes = ev.votes(now, ev.assignment.Carriers)
 	if now.Before(ev.noBudgetUntil) {
@@ -200,7 +202,7 @@
 func (ev *Evaluator) votes(now time.Time, carriers []fleet.Instance) int {
 	count := 0
 	for _, c := range carriers {
-		if l := ev.voters[c.Ref]; l != nil && now.Before(l.voteUntil) {
+		if v := ev.voters[c.Ref]; v != nil && now.Before(v.voteUntil) {
 			count++
 		}
 	}
--- a/coord/health/harness_test.go
+++ b/coord/health/harness_test.go
@@ -9,13 +9,13 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// behaviour is how an endpoint treats the requests of a zone.
+// behaviour is how an endpoint answers the requests of a zone.
 type behaviour struct {
-	failing float64
+	failing float64 // Share of requests.
 	slow    float64 // Factor on latency.
 }
 
-// bench feeds a judge with the evidence of several carriers about made traffic.
+// harness connects an evaluator with several carriers that observe simulated traffic.
 type harness struct {
 	random    *rand.Rand
 	now       time.Time
@@ -63,7 +63,7 @@
 	return fleet.Endpoint(fmt.Sprintf("10.0.0.%d:80", i))
 }
 
-// run lets time pass in steps, until done says so or d is over, and returns the time that passed.
+// run advances time in steps, until done returns true or d is over, and returns the time that passed.
 func (h *harness) run(d time.Duration, done func() bool) time.Duration {
 	const step = 100 * time.Millisecond
 	for passed := time.Duration(0); passed < d; passed += step {
@@ -87,7 +87,7 @@
 			continue
 		}
 		for h.random.Float64() < mean {
-			mean-- // At most one request; rates of the tests are small.
+			mean-- // Rarely more than one request per step: the tests use low rates.
 			how := h.behave(i, c.self.Zone)
 			latency := 40 * math.Exp(0.5*h.random.NormFloat64()) * how.slow
 			c.Observe(h.now, Attempt{
@@ -111,7 +111,7 @@
 	}
 }
 
-// out returns how many carriers have an endpoint out of service.
+// outCount returns how many carriers have an endpoint out of service.
 func (h *harness) outCount(endpoint int) int {
 	count := 0
 	for _, c := range h.carriers {
@@ -122,7 +122,7 @@
 	return count
 }
 
-// anyOut reports whether any carrier has any endpoint but the excepted out of service.
+// anyOutExcept reports whether any carrier has an endpoint other than except out of service.
 func (h *harness) anyOutExcept(except int) bool {
 	for i := range h.upstreams {
 		if i != except && h.outCount(i) > 0 {
--- a/coord/health/latency.go
+++ b/coord/health/latency.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// Bins of latency: their width is constant in the logarithm.
+// Latency histogram with logarithmic bins.
 const (
 	minBinLatency = 100 * time.Microsecond // Latency of bin 0.
 	binsPerNat    = 8
-	maxBin        = 160 // About 13 hours.
+	maxBin        = 160 // A latency of about 13 hours.
 	maxBinCount   = math.MaxUint8
 )
 
-// binOf returns the bin of a latency.
 func binOf(latency time.Duration) uint8 {
 	if latency <= minBinLatency {
 		return 0
@@ -22,7 +21,7 @@
 	return uint8(min(bin, maxBin))
 }
 
-// logOfBin returns the natural logarithm of a bin's latency over binFirst.
+// logOfBin returns the natural logarithm of the ratio of a bin's latency to minBinLatency.
 func logOfBin(bin uint8) float64 {
 	return float64(bin) / binsPerNat
 }
--- a/coord/health/ledger.go
+++ b/coord/health/ledger.go
@@ -6,23 +6,24 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// answeredHistory is the number of messages to one carrier whose time a judge remembers.
+// decisionHistory is the number of decisions to one carrier whose time an evaluator keeps.
 const decisionHistory = 16
 
-// answered is when a judge sent one message.
+// sentDecision records when an evaluator sent one decision.
 type sentDecision struct {
 	number uint64
 	at     time.Time
 }
 
-// loan is what a judge knows of one carrier's loan to it.
+// voter is an evaluator's state of one carrier.
 type voter struct {
-	sequence  uint64 // Of the newest evidence.
-	voteUntil time.Time
+	sequence  uint64    // Of the newest evidence.
+	voteUntil time.Time // The carrier's vote counts until then.
 	decisions [decisionHistory]sentDecision
 }
 
-// echoed notes that a carrier which lends itself to the judge has received message number.
+// recordAck extends the vote of a carrier that votes for the evaluator and has acknowledged a
+// decision, by when that decision was sent.
 func (v *voter) recordAck(number uint64, voteValidity time.Duration) {
 	m := v.decisions[number%decisionHistory]
 	if number == 0 || m.number != number {
@@ -37,20 +38,20 @@
 	v.decisions[number%decisionHistory] = sentDecision{number: number, at: now}
 }
 
-// ledger keeps what a judge may eject and what its live verdicts name, per zone of carriers.
+// ledger accounts for the slots that an evaluator's unexpired decisions remove, per zone of carriers.
 //
-// It names an endpoint that the last verdict did not name only while the slots of all
-// that live verdicts name, and this one, fit the allowance of the moment. So whatever
-// is alive at any time was within an allowance whose carriers are all still lent.
+// A decision may remove an endpoint that the last one did not only if its slots, with those
+// of all endpoints in unexpired decisions, fit the current allowance. So the removals in force
+// at any time fit an allowance whose votes are all still valid.
 type ledger struct {
 	charges map[fleet.Zone]map[EndpointKey]charge
-	last    map[fleet.Zone]map[EndpointKey]struct{} // Named by the last verdict.
+	last    map[fleet.Zone]map[EndpointKey]struct{} // In the last decision.
 }
 
-// spending is what one endpoint counts against the budget, also when the list drops it meanwhile.
+// charge is the part of the budget that one endpoint uses, also after the platform's list drops the endpoint.
 type charge struct {
 	slots int
-	until time.Time // From then on no live verdict names it.
+	until time.Time // All decisions that remove the endpoint have expired then.
 }
 
 func newLedger() ledger {
@@ -60,7 +61,7 @@
 	}
 }
 
-// expire forgets what no live verdict names any more.
+// expire drops the charges of endpoints that no unexpired decision removes.
 func (l *ledger) expire(now time.Time) {
 	for zone, reserved := range l.charges {
 		for key, c := range reserved {
@@ -74,7 +75,7 @@
 	}
 }
 
-// issue is the naming of endpoints for one verdict.
+// reservation gathers the endpoints that one decision removes.
 type reservation struct {
 	ledger    *ledger
 	allowance int
@@ -85,7 +86,7 @@
 	return &reservation{ledger: l, allowance: allowance, reserved: make(map[fleet.Zone]map[EndpointKey]int)}
 }
 
-// add names an endpoint for the carriers of some zones, and reports whether the budget let it.
+// add reserves an endpoint's slots for the carriers of some zones, and reports whether they fit the allowance.
 func (r *reservation) add(key EndpointKey, slots int, zones []fleet.Zone) bool {
 	for _, zone := range zones {
 		if !r.fits(key, slots, zone) {
@@ -115,7 +116,7 @@
 	return total+r.otherCharges(key, zone) <= r.allowance
 }
 
-// spentBesides returns the slots that live verdicts name besides key and what this verdict names.
+// otherCharges returns the slots that unexpired decisions remove, without key and the endpoints of this reservation.
 func (r *reservation) otherCharges(key EndpointKey, zone fleet.Zone) int {
 	total := 0
 	for other, c := range r.ledger.charges[zone] {
@@ -126,7 +127,7 @@
 	return total
 }
 
-// end records the verdict's names as spent for some time.
+// commit charges the reserved endpoints for chargeDuration.
 func (r *reservation) commit(now time.Time, chargeDuration time.Duration) {
 	r.ledger.last = make(map[fleet.Zone]map[EndpointKey]struct{}, len(r.reserved))
 	for zone, reserved := range r.reserved {
--- a/coord/health/ledger_test.go
+++ b/coord/health/ledger_test.go
@@ -9,10 +9,11 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Whatever live verdicts name fits an allowance that a live verdict was issued under.
-func TestLedgerKeepsLiveVerdictsWithinAnAllowance(t *testing.T) {
+// The endpoints that unexpired decisions remove must fit the allowance of one of these decisions, also
+// when the allowance shrinks between two decisions.
+func TestLedgerKeepsUnexpiredDecisionsWithinAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const live = time.Second
+		const validity = time.Second
 		type issued struct {
 			at        time.Time
 			allowance int
@@ -36,12 +37,12 @@
 					next.named = append(next.named, key)
 				}
 			}
-			r.commit(now, live)
+			r.commit(now, validity)
 			history = append(history, next)
 			total, largest := 0, 0
 			counted := map[EndpointKey]bool{}
 			for _, h := range history {
-				if now.Sub(h.at) >= live {
+				if now.Sub(h.at) >= validity {
 					continue
 				}
 				largest = max(largest, h.allowance)
@@ -53,7 +54,7 @@
 				}
 			}
 			if total > largest {
-				t.Fatalf("live verdicts name %d slots, the largest allowance is %d", total, largest)
+				t.Fatalf("unexpired decisions remove %d slots, the largest allowance is %d", total, largest)
 			}
 		}
 	})
--- a/coord/health/probation.go
+++ b/coord/health/probation.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Bounds of the sequential test on trial requests.
+// Parameters of the sequential test on trial requests.
 const (
-	trialUnhealthyLimit = 3.0 // Nats: sick again.
+	trialUnhealthyLimit = 3.0 // Nats: still unhealthy.
 	trialHealthyLimit   = 2.5 // Nats, for each cause: healthy.
 	minTrials           = 5
 	maxTrialGain        = 3.0
 )
 
-// trialPatience is the time without a trial request after which an endpoint returns
-// untested: its service may have no requests that can be repeated.
+// trialTimeout is the time without a trial request after which an endpoint returns to service
+// untested: its service may have no requests that can be retried.
 const trialTimeout = time.Minute
 
-// trialTurn is the time for which one group of carriers may send trial requests.
+// trialRotation is the time for which one group of carriers may send trial requests.
 const trialRotation = 5 * time.Second
 
-// tickProbation starts trial requests when the hold time is over.
+// advanceProbation starts trial requests when the hold time is over, and restores an endpoint that gets none.
 func (ev *Evaluator) advanceProbation(now time.Time, ep *endpointState) {
 	r := &ep.removal
 	if !ep.removed() || now.Before(r.mayReturn) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// observeTrial takes one carrier's report on trial requests.
+// observeTrial adds one carrier's report on trial requests, which may end or prolong the removal.
 func (ev *Evaluator) observeTrial(now time.Time, ep *endpointState, carrier int, report Report) {
 	if ep.removal.state != StateTrial || !ev.outForZone(ep, ev.zoneOf[carrier]) {
 		return
@@ -51,7 +51,8 @@
 	}
 }
 
-// observeAtFloor takes requests to an endpoint that only the floor keeps in service: it may show itself healthy.
+// observeAtFloor counts requests to an endpoint that only the floor keeps in service as trial
+// requests, so that the endpoint can recover.
 func (ev *Evaluator) observeAtFloor(now time.Time, ep *endpointState, report Report) {
 	if !ep.removal.atFloor {
 		return
@@ -67,24 +68,24 @@
 }
 
 func (ev *Evaluator) addTrial(ep *endpointState, report Report) {
-	c := ev.baselines[0]
+	b := ev.baselines[0]
 	r := &ep.removal
-	failed, answered := failureGains(c.failureRate, extraFailureShares[testSomeFail])
+	failed, answered := failureGains(b.failureRate, extraFailureShares[testSomeFail])
 	requests, failures := float64(report.Requests), float64(report.Failures)
 	r.trialRequests += int(report.Requests)
 	r.trialScores[CauseFailures] += clampTrial(failures*failed + (requests-failures)*answered)
 	for i := 0; i+1 < len(report.Latency); i += 2 {
-		gain := float64(report.Latency[i+1]) * c.slowGain(c.residual(report.Latency[i]))
+		gain := float64(report.Latency[i+1]) * b.slowGain(b.residual(report.Latency[i]))
 		r.trialScores[CauseSlowness] += clampTrial(gain)
 	}
 }
 
-// trialSick reports whether the trial requests show the endpoint sick.
+// trialsUnhealthy reports whether the trial requests show the endpoint unhealthy.
 func (r *removal) trialsUnhealthy() bool {
 	return r.trialScores[CauseFailures] >= trialUnhealthyLimit || r.trialScores[CauseSlowness] >= trialUnhealthyLimit
 }
 
-// trialHealthy reports whether the trial requests show the endpoint healthy.
+// trialsHealthy reports whether the trial requests show the endpoint healthy.
 func (r *removal) trialsHealthy() bool {
 	if r.trialRequests < minTrials {
 		return false
@@ -96,7 +97,7 @@
 	return min(max(gain, -maxTrialGain), maxTrialGain)
 }
 
-// relapse holds an endpoint back for longer.
+// extendHold keeps an endpoint out of service for a longer time after failed trial requests.
 func (ev *Evaluator) extendHold(now time.Time, ep *endpointState) {
 	r := &ep.removal
 	r.cause = CauseFailures
@@ -121,7 +122,7 @@
 	ep.removal = removal{state: StateInService, holdDoublings: ep.removal.holdDoublings, returned: now}
 }
 
-// takesTrials reports whether it is a carrier's turn to send trial requests to an endpoint.
+// sendsTrials reports whether a carrier is in the group that may send trial requests to an endpoint now.
 func (ev *Evaluator) sendsTrials(now time.Time, ep *endpointState, carrier int) bool {
 	group := max(ep.upstream.Slots, 2)
 	turn := int(now.Sub(ep.removal.mayReturn) / trialRotation)
--- a/coord/health/rapid_test.go
+++ b/coord/health/rapid_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Every run draws the same cases and writes no files.
+// Fixes the seed, so that every run draws the same cases, and writes no failure files.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/coord/health/removal.go
+++ b/coord/health/removal.go
@@ -6,19 +6,19 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Action is what a judge decided on an endpoint.
+// Action is the kind of a Transition.
 type Action string
 
-// Actions of a judge.
+// Actions of an evaluator.
 const (
-	ActionEject   Action = "eject"   // Out of service everywhere.
+	ActionEject   Action = "eject"   // Out of service in all zones.
 	ActionAvoid   Action = "avoid"   // Out of service for some zones.
 	ActionTrial   Action = "trial"   // Trial requests may start.
-	ActionRelapse Action = "relapse" // Trial requests showed it sick; its hold time grows.
+	ActionRelapse Action = "relapse" // Trial requests showed it unhealthy; its hold time grows.
 	ActionReturn  Action = "return"  // Back in service.
 )
 
-// Transition is one decision of a judge with the figures that led to it.
+// Transition is a change of an endpoint's state at the evaluator, with the figures that led to it.
 type Transition struct {
 	At        time.Time      `json:"at"`
 	Service   fleet.Service  `json:"service"`
@@ -28,17 +28,17 @@
 	Zones     []fleet.Zone   `json:"zones,omitempty"` // Empty for all.
 	Score     float64        `json:"score"`           // In nats.
 	Limit     float64        `json:"limit"`           // In nats.
-	Budget    int            `json:"budget"`          // Slots that the judge may hold in ejections.
-	Votes     int            `json:"heard"`           // Carriers that the budget rests on.
+	Budget    int            `json:"budget"`          // Slots that the evaluator may remove.
+	Votes     int            `json:"heard"`           // Carriers with a valid vote for the evaluator.
 	Carriers  int            `json:"carriers"`
 	Hold      time.Duration  `json:"hold"` // Time until trial requests.
 	MayReturn time.Time      `json:"may_return"`
 }
 
-// maxDecisions bounds the decisions that wait for Decisions.
+// maxTransitions bounds the transitions kept for Transitions; later ones are dropped.
 const maxTransitions = 1024
 
-// Transitions returns the decisions since the last call.
+// Transitions returns the transitions since the last call.
 func (ev *Evaluator) Transitions() []Transition {
 	taken := ev.transitions
 	ev.transitions = nil
@@ -67,7 +67,8 @@
 	})
 }
 
-// hold returns the time that an endpoint stays out before trial requests: it doubles with each strike.
+// holdDuration returns the time that an endpoint stays out of service before trial requests. It
+// doubles with each removal and each failed trial, up to Config.HoldMax.
 func (ev *Evaluator) holdDuration(ep *endpointState) time.Duration {
 	hold := ev.cfg.Hold
 	for range ep.removal.holdDoublings {
@@ -101,10 +102,10 @@
 	}
 }
 
-// maxStrikes bounds the doublings of a hold time.
+// maxHoldDoublings bounds the doublings of a hold time.
 const maxHoldDoublings = 16
 
-// forgive undoes one strike for each Forgive of service without an ejection.
+// decayHold undoes one doubling for each Config.HoldDecay in service since the last return.
 func (ev *Evaluator) decayHold(now time.Time, ep *endpointState) {
 	r := &ep.removal
 	if r.returned.IsZero() {
--- a/coord/health/safety_test.go
+++ b/coord/health/safety_test.go
@@ -11,13 +11,14 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// actions are what may happen to a world, by name.
+// actions returns the random events by name. rapid picks them from the sorted names, so renaming
+// one changes the cases drawn from the fixed seed.
 func (sim *simulation) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"advance": func(t *rapid.T) {
 			sim.now = sim.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 		},
-		"rounds": func(t *rapid.T) { // Several nodes talk to their judges without loss.
+		"rounds": func(t *rapid.T) { // Several nodes exchange messages with their evaluators without loss.
 			subset := rapid.SliceOfDistinct(rapid.IntRange(0, len(sim.nodes)-1), rapid.ID).Draw(t, "nodes")
 			for range rapid.IntRange(1, 12).Draw(t, "rounds") {
 				sim.now = sim.now.Add(500 * time.Millisecond)
@@ -34,7 +35,7 @@
 				sim.post(n.self.Ref, n.carrier.Tick(sim.clock(n)))
 			}
 		},
-		"deliver": func(t *rapid.T) { // Late, doubled and replayed messages alike.
+		"deliver": func(t *rapid.T) { // Including late, duplicated and replayed messages.
 			if len(sim.messages) == 0 {
 				return
 			}
@@ -44,10 +45,10 @@
 		"want": func(t *rapid.T) {
 			u := rapid.SampledFrom(sim.actual).Draw(t, "endpoint")
 			zone := rapid.SampledFrom([]fleet.Zone{"", "", "a", "b", "c"}).Draw(t, "zone")
-			sim.setRemoved(sim.drawNode("judge"), KeyOf(u.Endpoint), zone, rapid.IntRange(0, 3).Draw(t, "removed") > 0)
+			sim.setRemoved(sim.drawNode("evaluator"), KeyOf(u.Endpoint), zone, rapid.IntRange(0, 3).Draw(t, "removed") > 0)
 		},
-		"assign": func(t *rapid.T) { // A node takes another instance for the judge.
-			n, evaluator := sim.drawNode("node"), sim.drawNode("judge")
+		"assign": func(t *rapid.T) { // A node's assignment names another instance as evaluator.
+			n, evaluator := sim.drawNode("node"), sim.drawNode("evaluator")
 			if n.alive {
 				n.evaluatorRef = evaluator.self.Ref
 				sim.configure(n)
@@ -57,8 +58,8 @@
 	}
 }
 
-// session lets every node follow one of two judges for a while. The judges change their
-// minds, and some nodes miss some verdicts.
+// session splits the nodes between two evaluators for a while. The evaluators change the
+// endpoints they want removed, and some nodes miss some decisions.
 func (sim *simulation) session(t *rapid.T) {
 	alive := slices.DeleteFunc(slices.Clone(sim.nodes), func(n *node) bool { return !n.alive })
 	evaluators := []*node{
@@ -73,7 +74,7 @@
 		sim.now = sim.now.Add(time.Duration(rapid.IntRange(500, 800).Draw(t, "ms")) * time.Millisecond)
 		skipped := rapid.IntRange(0, 3*len(alive)).Draw(t, "missing")
 		if rapid.IntRange(0, 2).Draw(t, "change") == 0 {
-			sim.redrawRemovals(t, rapid.SampledFrom(evaluators).Draw(t, "judge"))
+			sim.redrawRemovals(t, rapid.SampledFrom(evaluators).Draw(t, "evaluator"))
 		}
 		for i, n := range alive {
 			if i != skipped {
@@ -84,14 +85,14 @@
 	}
 }
 
-// changeMind makes a judge want another set of endpoints removed.
+// redrawRemovals makes an evaluator want another set of endpoints removed.
 func (sim *simulation) redrawRemovals(t *rapid.T, evaluator *node) {
 	for _, u := range sim.actual {
 		sim.setRemoved(evaluator, KeyOf(u.Endpoint), "", rapid.Bool().Draw(t, "removed"))
 	}
 }
 
-// listActions let endpoints drain, warm up and come back while the lists lag and differ.
+// listActions adds events in which endpoints drain, warm up and return while the instances' lists lag and differ.
 func (sim *simulation) listActions(actions map[string]func(*rapid.T)) {
 	actions["truth"] = func(t *rapid.T) {
 		i := rapid.IntRange(0, len(sim.actual)-1).Draw(t, "endpoint")
@@ -105,7 +106,7 @@
 	}
 }
 
-// rosterActions let instances restart, join and go while the rosters lag and differ.
+// rosterActions adds events in which instances restart, join and leave while the instances' rosters lag and differ.
 func (sim *simulation) rosterActions(actions map[string]func(*rapid.T)) {
 	actions["restart"] = func(t *rapid.T) {
 		n := sim.drawNode("node")
@@ -124,7 +125,7 @@
 		}
 		sim.newRoster(sim.start(fmt.Sprintf("j%d", len(sim.nodes)), 1))
 	}
-	actions["strike"] = func(t *rapid.T) { // Struck off while it may still be running.
+	actions["strike"] = func(t *rapid.T) { // Removed from the roster while it may still be running.
 		carriers := slices.Clone(sim.rosters[len(sim.rosters)-1].carriers)
 		if len(carriers) < 2 || len(sim.rosters) > 12 {
 			return
@@ -141,7 +142,7 @@
 	}
 }
 
-// newRoster adds a roster in which an instance takes the place of its earlier life, or a new one.
+// newRoster adds a roster with a new instance, or with a new incarnation in place of the earlier one.
 func (sim *simulation) newRoster(fresh *node) {
 	carriers := slices.Clone(sim.rosters[len(sim.rosters)-1].carriers)
 	carriers = slices.DeleteFunc(carriers, func(c fleet.Instance) bool { return c.Ref.ID == fresh.self.Ref.ID })
@@ -161,11 +162,11 @@
 		maxRemoved = max(maxRemoved, sim.maxRemoved)
 	})
 	if maxRemoved == 0 {
-		t.Fatal("no run ejected anything")
+		t.Fatal("no run ejected an endpoint")
 	}
 }
 
-func TestFloorHoldsInAnySplit(t *testing.T) {
+func TestFloorHoldsInAnyPartition(t *testing.T) {
 	runSimulation(t, func(*simulation, map[string]func(*rapid.T)) {})
 }
 
@@ -177,7 +178,7 @@
 	runSimulation(t, (*simulation).rosterActions)
 }
 
-func TestFloorHoldsWhileEverythingDiffers(t *testing.T) {
+func TestFloorHoldsWhileListsAndRostersDiffer(t *testing.T) {
 	runSimulation(t, func(sim *simulation, actions map[string]func(*rapid.T)) {
 		sim.listActions(actions)
 		sim.rosterActions(actions)
@@ -190,36 +191,35 @@
 		budget := rapid.IntRange(-5, 400).Draw(t, "budget")
 		left, total := carriers, 0
 		for left > 0 {
-			votes := rapid.IntRange(1, left).Draw(t, "heard")
+			votes := rapid.IntRange(1, left).Draw(t, "votes")
 			left -= votes
 			total += budgetShare(budget, carriers, votes)
 		}
 		if total > max(budget, 0) {
-			t.Fatalf("sides may eject %d slots, budget is %d", total, budget)
+			t.Fatalf("evaluators may remove %d slots, budget is %d", total, budget)
 		}
 	})
 }
 
-// TestSharesFitTheBudgetWhenJudgesKnowOfDifferentEndedLives checks the shares when each judge
-// counts a set of carriers without some of its lives that have ended, and not all judges
-// know of the same ones.
-func TestSharesFitTheBudgetWhenJudgesKnowOfDifferentEndedLives(t *testing.T) {
+// Each evaluator leaves the incarnations that it knows to have ended out of the number of carriers.
+// The shares must fit the budget also when the evaluators know different ones.
+func TestSharesFitTheBudgetWithDifferentEndedIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.IntRange(0, 60).Draw(t, "budget")
 		carriers := rapid.IntRange(1, 20).Draw(t, "carriers")
 		ended := rapid.IntRange(0, carriers).Draw(t, "ended")
-		unheard := carriers - ended
+		freeVotes := carriers - ended
 		held := 0
-		for evaluator := range rapid.IntRange(1, 5).Draw(t, "judges") {
-			votes := rapid.IntRange(0, unheard).Draw(t, "heard")
+		for evaluator := range rapid.IntRange(1, 5).Draw(t, "evaluators") {
+			votes := rapid.IntRange(0, freeVotes).Draw(t, "votes")
 			known := rapid.IntRange(0, ended).Draw(t, "known to have ended")
-			unheard -= votes
+			freeVotes -= votes
 			part := budgetShare(budget, carriers-known, votes)
 			held += part
-			t.Logf("judge %d of %d carriers hears %d and holds %d", evaluator, carriers-known, votes, part)
+			t.Logf("evaluator %d of %d carriers holds %d votes and may remove %d slots", evaluator, carriers-known, votes, part)
 		}
 		if held > budget {
-			t.Fatalf("judges hold %d slots, budget %d", held, budget)
+			t.Fatalf("evaluators may remove %d slots, budget %d", held, budget)
 		}
 	})
 }
--- a/coord/health/simulation_test.go
+++ b/coord/health/simulation_test.go
@@ -10,8 +10,8 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// world is a fleet whose network, clocks, lists, rosters and judges' wishes are drawn at random.
-// Judges want whatever the test draws: the floor must hold whatever the detector says.
+// simulation is a fleet whose network, clocks, lists, rosters and wanted removals are drawn at random.
+// The removals that evaluators want don't come from the detector: the floor must hold whatever it finds.
 type simulation struct {
 	t          *rapid.T
 	cfg        Config
@@ -20,12 +20,12 @@
 	actual     []fleet.Upstream
 	rosters    []roster
 	nodes      []*node
-	messages   []message // Everything ever sent; any of it may be delivered at any time, also twice.
+	messages   []message // All messages sent so far; each may be delivered at any time, also twice.
 	heldLists  []heldList
-	maxRemoved int // Largest union of removed slots seen, against vacuous runs.
+	maxRemoved int // Most slots removed at one time; shows that the runs remove endpoints at all.
 }
 
-// listing is when a judge last held a list with so many ready slots.
+// heldList is the number of ready slots in an evaluator's list, and until when decisions on it may be valid.
 type heldList struct {
 	ready int
 	until time.Time
@@ -40,7 +40,7 @@
 	send Send
 }
 
-// node is one life of one instance, with its own clock.
+// node is one incarnation of one instance, with its own clock.
 type node struct {
 	self         fleet.Instance
 	offset       time.Duration
@@ -120,7 +120,7 @@
 	sim.recordList(n)
 }
 
-// holdList notes what the judge of a node counts as ready, for as long as a verdict of it may live.
+// recordList records the ready slots in the list of a node's evaluator, for as long as a decision on it may be valid.
 func (sim *simulation) recordList(n *node) {
 	sim.heldLists = append(sim.heldLists, heldList{ready: n.evaluator.readySlots(), until: sim.now.Add(sim.cfg.Lease + 2*sim.cfg.DriftMargin)})
 }
@@ -154,7 +154,7 @@
 	_ = n.carrier.Deliver(sim.clock(n), m.from, m.send.Decision)
 }
 
-// exchange lets a node report and delivers the evidence and its verdict without loss.
+// exchange sends a node's evidence and delivers it and the decision without loss.
 func (sim *simulation) exchange(n *node) {
 	before := len(sim.messages)
 	sim.post(n.self.Ref, n.carrier.Tick(sim.clock(n)))
@@ -167,21 +167,21 @@
 	return rapid.SampledFrom(sim.nodes).Draw(sim.t, label)
 }
 
-// want makes a judge want an endpoint removed, for all zones or for one, or back.
+// setRemoved makes an evaluator want an endpoint removed, for all zones or for one, or back in service.
 func (sim *simulation) setRemoved(n *node, key EndpointKey, zone fleet.Zone, removed bool) {
-	t := n.evaluator.byKey[key]
-	if t == nil || !t.ready() {
+	ep := n.evaluator.byKey[key]
+	if ep == nil || !ep.ready() {
 		return
 	}
-	t.removal.zones = nil
+	ep.removal.zones = nil
 	switch {
 	case !removed:
-		t.removal.state = StateInService
+		ep.removal.state = StateInService
 	case zone != "" && slices.Contains(n.evaluator.zones, zone):
-		t.removal.state = StateAvoided
-		t.removal.zones = []fleet.Zone{zone}
+		ep.removal.state = StateAvoided
+		ep.removal.zones = []fleet.Zone{zone}
 	default:
-		t.removal.state = StateEjected
+		ep.removal.state = StateEjected
 	}
 }
 
--- a/coord/health/threshold_test.go
+++ b/coord/health/threshold_test.go
@@ -17,12 +17,12 @@
 		p.FalseEjectionsPerEndpointMonth /= 10
 		strict := Threshold(p, endpoints)
 		if strict.Limit <= loose.Limit || strict.FailingDetectionTime < loose.FailingDetectionTime || strict.SlowDetectionTime < loose.SlowDetectionTime {
-			t.Fatalf("accepting a tenth changes %+v to %+v", loose, strict)
+			t.Fatalf("a tenth of the accepted false ejections changes %+v to %+v", loose, strict)
 		}
 	})
 }
 
-func TestThresholdOfAnEmptyTemplateIsDefined(t *testing.T) {
+func TestThresholdOfEmptyTemplateIsDefined(t *testing.T) {
 	o := Threshold(Parameters{}, 0)
 	if o.Limit < minLimit || o.FailingDetectionTime <= 0 || o.SlowDetectionTime <= 0 {
 		t.Fatalf("operating point %+v", o)
