--- a/coord/health/carrier_test.go
+++ b/coord/health/carrier_test.go
@@ -14,19 +14,19 @@
 	second = fleet.Ref{ID: "j2", Incarnation: 1}
 )
 
-func newTestCarrier(now time.Time, judge fleet.Ref) *Carrier {
+func newTestCarrier(now time.Time, evaluator fleet.Ref) *Carrier {
 	c := NewCarrier(self, DefaultConfig())
-	configure(c, now, judge)
+	configure(c, now, evaluator)
 	return c
 }
 
-func configure(c *Carrier, now time.Time, judge fleet.Ref) {
+func configure(c *Carrier, now time.Time, evaluator fleet.Ref) {
 	upstreams := []fleet.Upstream{
 		{Endpoint: endpointName(0), Slots: 3, State: fleet.UpstreamReady},
 		{Endpoint: endpointName(1), Slots: 3, State: fleet.UpstreamReady},
 	}
 	p := Parameters{Service: "s", Revision: 1, FloorSlots: 3}
-	c.Configure(now, p, Assignment{Judge: judge, Carriers: []fleet.Instance{self}}, upstreams)
+	c.Configure(now, p, Assignment{Evaluator: evaluator, Carriers: []fleet.Instance{self}}, upstreams)
 }
 
 func send(t *testing.T, c *Carrier, now time.Time) *Evidence {
@@ -38,39 +38,39 @@
 	return sends[0].Evidence
 }
 
-func eject(sequence uint64, endpoints ...int) *Verdict {
-	v := &Verdict{Sequence: sequence, Number: 1}
+func eject(sequence uint64, endpoints ...int) *Decision {
+	d := &Decision{Sequence: sequence, Number: 1}
 	for _, e := range endpoints {
-		v.Removals = append(v.Removals, Removal{Endpoint: KeyOf(endpointName(e)), State: StateEjected})
+		d.Removals = append(d.Removals, Removal{Endpoint: KeyOf(endpointName(e)), State: StateEjected})
 	}
-	return v
+	return d
 }
 
-func TestCarrierLendsItselfToOneJudgeAtATime(t *testing.T) {
+func TestCarrierVotesForOneEvaluatorAtATime(t *testing.T) {
 	cfg := DefaultConfig()
 	now := time.Unix(1000, 0)
 	c := newTestCarrier(now, first)
-	if send(t, c, now).Lent {
-		t.Fatal("a new life lends itself while a loan of the life before may run")
+	if send(t, c, now).Vote {
+		t.Fatal("a new incarnation votes while a vote of the earlier one may be valid")
 	}
-	now = now.Add(cfg.Loan + cfg.DriftMargin)
-	if !send(t, c, now).Lent {
-		t.Fatal("the carrier does not lend itself to its judge")
+	now = now.Add(cfg.VoteLease + cfg.DriftMargin)
+	if !send(t, c, now).Vote {
+		t.Fatal("the carrier does not vote for its evaluator")
 	}
 	configure(c, now, second)
-	for _, wait := range []time.Duration{cfg.Loan / 2, cfg.Loan/2 - time.Millisecond} {
+	for _, wait := range []time.Duration{cfg.VoteLease / 2, cfg.VoteLease/2 - time.Millisecond} {
 		now = now.Add(wait)
-		if send(t, c, now).Lent {
-			t.Fatalf("the carrier is lent to two judges %v after the first loan", wait)
+		if send(t, c, now).Vote {
+			t.Fatalf("the carrier votes for a second evaluator %v after its first vote", wait)
 		}
 	}
 	now = now.Add(cfg.KeepAlive)
-	if !send(t, c, now).Lent {
-		t.Fatal("the carrier does not lend itself to its new judge")
+	if !send(t, c, now).Vote {
+		t.Fatal("the carrier does not vote for its new evaluator")
 	}
 }
 
-func TestCarrierCountsTheLeaseFromItsOwnMessage(t *testing.T) {
+func TestLeaseStartsWhenCarrierSendsEvidence(t *testing.T) {
 	cfg := DefaultConfig()
 	start := time.Unix(1000, 0)
 	c := newTestCarrier(start, first)
@@ -82,12 +82,12 @@
 	if got := c.View(late)[0].State; got != StateEjected {
 		t.Fatalf("state %d, want ejected", got)
 	}
-	if got := c.View(start.Add(cfg.Lease))[0].State; got != StateOpen {
-		t.Fatalf("state %d one lease after the evidence, want open", got)
+	if got := c.View(start.Add(cfg.Lease))[0].State; got != StateInService {
+		t.Fatalf("state %d one lease after the evidence, want in service", got)
 	}
 }
 
-func TestCarrierDropsVerdicts(t *testing.T) {
+func TestCarrierDropsInvalidDecisions(t *testing.T) {
 	cfg := DefaultConfig()
 	start := time.Unix(1000, 0)
 	c := newTestCarrier(start, first)
@@ -98,24 +98,24 @@
 		t.Fatal(err)
 	}
 	for name, f := range map[string]func() error{
-		"replayed":         func() error { return c.Deliver(now, first, eject(two.Sequence, 0)) },
-		"older":            func() error { return c.Deliver(now, first, eject(one.Sequence, 0)) },
-		"of another judge": func() error { return c.Deliver(now, second, eject(two.Sequence, 0)) },
-		"of nothing":       func() error { return c.Deliver(now, first, eject(77, 0)) },
+		"replayed":             func() error { return c.Deliver(now, first, eject(two.Sequence, 0)) },
+		"older":                func() error { return c.Deliver(now, first, eject(one.Sequence, 0)) },
+		"of another evaluator": func() error { return c.Deliver(now, second, eject(two.Sequence, 0)) },
+		"without evidence":     func() error { return c.Deliver(now, first, eject(77, 0)) },
 		"late": func() error {
 			return c.Deliver(start.Add(cfg.KeepAlive+cfg.Lease), first, eject(two.Sequence, 0))
 		},
 	} {
-		if err := f(); !errors.Is(err, ErrVerdictDropped) {
-			t.Errorf("verdict %s: error %v, want %v", name, err, ErrVerdictDropped)
+		if err := f(); !errors.Is(err, ErrDecisionDropped) {
+			t.Errorf("decision %s: error %v, want %v", name, err, ErrDecisionDropped)
 		}
 	}
-	if c.Dropped != 5 || c.View(now)[0].State != StateOpen {
-		t.Fatalf("dropped %d verdicts, want 5; state %d, want open", c.Dropped, c.View(now)[0].State)
+	if c.Dropped != 5 || c.View(now)[0].State != StateInService {
+		t.Fatalf("dropped %d decisions, want 5; state %d, want in service", c.Dropped, c.View(now)[0].State)
 	}
 }
 
-func TestCarrierRefusesVerdictsBelowTheFloor(t *testing.T) {
+func TestCarrierKeepsFloorDespiteDecision(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestCarrier(now, first)
 	e := send(t, c, now)
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	views := c.View(now)
-	if views[0].State != StateEjected || views[1].State != StateOpen || !views[1].AtFloor {
-		t.Fatalf("views %+v, want the worst ejected and the other held in service by the floor", views)
+	if views[0].State != StateEjected || views[1].State != StateInService || !views[1].AtFloor {
+		t.Fatalf("views %+v, want the first ejected and the second kept in service by the floor", views)
 	}
 }
--- a/coord/health/detector.go
+++ b/coord/health/detector.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Cause says what a score speaks of.
+// Cause is the kind of failure that a test detects.
 type Cause uint8
 
 // Causes of a removal.
 const (
 	CauseFailures Cause = iota // Requests fail.
-	CauseSlowness              // Answers are late.
+	CauseSlowness              // Answers are slow.
 )
 
-// String returns the word that logs use.
+// String returns the name used in logs.
 func (c Cause) String() string {
 	if c == CauseFailures {
 		return "failures"
@@ -19,19 +19,19 @@
 	return "slowness"
 }
 
-// causes is the number of causes.
-const causes = 2
+// numCauses is the number of causes.
+const numCauses = 2
 
-// The sequential tests on an endpoint. Two look for failures, since one alternative
-// cannot be near both an endpoint that fails some of its work and one that fails all.
+// The sequential tests on an endpoint. Two look for failures, since one alternative hypothesis
+// cannot be close both to an endpoint that fails some requests and to one that fails all.
 const (
 	testSomeFail = iota
 	testMostFail
 	testSlow
-	tests
+	numTests
 )
 
-// causeOf returns what a test speaks of.
+// causeOf returns the cause that a test detects.
 func causeOf(test int) Cause {
 	if test == testSlow {
 		return CauseSlowness
@@ -39,7 +39,7 @@
 	return CauseFailures
 }
 
-// totals count the requests of one endpoint since it was first seen.
+// totals are the sums over the requests of one endpoint since it was first seen.
 type totals struct {
 	requests  float64
 	failures  float64
@@ -58,121 +58,122 @@
 	}
 }
 
-// cusum is a cumulative-sum test: the sum of gains since it was last zero.
+// cusum is a cumulative-sum test: score is the sum of the gains since it was last zero, and never negative.
 type cusum struct {
-	score float64
-	by    []float64 // Part of each carrier in score.
-	// marks hold the totals of every endpoint from the time at which score rose over
-	// a quarter of the limit; nil while it is below.
-	marks []totals
-	// growth is what the score may still grow by at the time grownAt, if it is bounded.
-	growth  float64
-	grownAt time.Time
+	score     float64
+	byCarrier []float64 // Contribution of each carrier to score.
+	// snapshot holds the totals of every endpoint from when score reached snapshotShare of
+	// the limit; nil while score is below it.
+	snapshot []totals
+	// growthLeft is how much the score may still grow at time growthAt, for a test whose
+	// growth is limited.
+	growthLeft float64
+	growthAt   time.Time
 }
 
-// Bounds of the growth of the slowness test, in limits. Requests that run at the same
-// time share a short stall, and so do not speak for themselves.
+// Token bucket for the growth of the slowness test, in multiples of the limit. A short stall
+// slows all requests that run at the time, so they are not independent samples.
 const (
 	growthBurst     = 0.25
 	growthPerSecond = 0.8
 )
 
-// boundGrowth returns as much of a gain as the score may grow by at this time.
-func (c *cusum) boundGrowth(now time.Time, gain, limit float64) float64 {
-	most := growthBurst * limit
-	if c.grownAt.IsZero() {
-		c.growth = most
+// limitGrowth returns the part of a gain that the score may grow by now.
+func (c *cusum) limitGrowth(now time.Time, gain, limit float64) float64 {
+	burst := growthBurst * limit
+	if c.growthAt.IsZero() {
+		c.growthLeft = burst
 	} else {
-		c.growth = min(c.growth+now.Sub(c.grownAt).Seconds()*growthPerSecond*limit, most)
+		c.growthLeft = min(c.growthLeft+now.Sub(c.growthAt).Seconds()*growthPerSecond*limit, burst)
 	}
-	c.grownAt = now
+	c.growthAt = now
 	if gain <= 0 {
 		return gain
 	}
-	gain = min(gain, c.growth)
-	c.growth -= gain
+	gain = min(gain, c.growthLeft)
+	c.growthLeft -= gain
 	return gain
 }
 
 func (c *cusum) add(gain float64, carrier int, limit float64) {
 	c.score += gain
-	c.by[carrier] += gain
+	c.byCarrier[carrier] += gain
 	if c.score <= 0 {
 		c.reset()
 		return
 	}
-	if most := scoreCap * limit; c.score > most {
-		c.scale(most / c.score)
+	if highest := scoreCap * limit; c.score > highest {
+		c.scale(highest / c.score)
 	}
 }
 
-// scoreCap bounds a score, in limits, so that an endpoint that recovers is seen to.
+// scoreCap bounds a score, in multiples of the limit, so that it falls soon after an endpoint recovers.
 const scoreCap = 2.0
 
 func (c *cusum) scale(factor float64) {
 	c.score *= factor
-	for i := range c.by {
-		c.by[i] *= factor
+	for i := range c.byCarrier {
+		c.byCarrier[i] *= factor
 	}
 }
 
 func (c *cusum) reset() {
 	c.score = 0
-	c.marks = nil
-	clear(c.by)
+	c.snapshot = nil
+	clear(c.byCarrier)
 }
 
-// withoutLargest returns the score without the carrier that contributed most to it.
-func (c *cusum) withoutLargest() float64 {
+// scoreWithoutLargest returns the score without the carrier that contributed most to it.
+func (c *cusum) scoreWithoutLargest() float64 {
 	largest := 0.0
-	for _, part := range c.by {
+	for _, part := range c.byCarrier {
 		largest = max(largest, part)
 	}
 	return c.score - largest
 }
 
-// scope is what a judge knows of one endpoint from all carriers, or from those of one zone.
+// scope holds the tests on one endpoint over the reports of all carriers, or of those of one zone.
 type scope struct {
-	rates  rates
-	totals totals
-	tests  [tests]cusum
+	averages averages
+	totals   totals
+	tests    [numTests]cusum
 }
 
 func newScope(carriers int) scope {
 	var s scope
 	for i := range s.tests {
-		s.tests[i].by = make([]float64, carriers)
+		s.tests[i].byCarrier = make([]float64, carriers)
 	}
 	return s
 }
 
-// observe takes one carrier's report into the scope.
-func (s *scope) observe(now time.Time, c centre, r Report, carrier int, limit float64) {
+// observe adds one carrier's report to the averages, totals and tests.
+func (s *scope) observe(now time.Time, b baseline, r Report, carrier int, limit float64) {
 	requests, failures := float64(r.Requests), float64(r.Failures)
-	for test, step := range failureSteps {
-		failed, answered := failureGains(c.failureRate, step)
+	for test, extraShare := range extraFailureShares {
+		failed, answered := failureGains(b.failureRate, extraShare)
 		s.tests[test].add(failures*failed+(requests-failures)*answered, carrier, limit)
 	}
-	s.rates.addRequests(requests, failures)
+	s.averages.addRequests(requests, failures)
 	s.totals.requests += requests
 	s.totals.failures += failures
 	slow := 0.0
 	for i := 0; i+1 < len(r.Latency); i += 2 {
 		count := float64(r.Latency[i+1])
-		residual := c.residual(r.Latency[i])
-		slow += count * c.slowGain(residual)
-		s.rates.addAnswers(count, logOfBin(r.Latency[i]))
+		residual := b.residual(r.Latency[i])
+		slow += count * b.slowGain(residual)
+		s.averages.addAnswers(count, logOfBin(r.Latency[i]))
 		s.totals.answers += count
 		s.totals.residuals += count * residual
 	}
 	s.totals.slowGain += slow
-	if c.known {
+	if b.latencyKnown {
 		test := &s.tests[testSlow]
-		test.add(test.boundGrowth(now, slow, limit), carrier, limit)
+		test.add(test.limitGrowth(now, slow, limit), carrier, limit)
 	}
 }
 
-// resetTests forgets what the tests have summed up.
+// resetTests sets the scores of all tests to zero.
 func (s *scope) resetTests() {
 	for i := range s.tests {
 		s.tests[i].reset()
--- a/coord/health/latency.go
+++ b/coord/health/latency.go
@@ -5,24 +5,23 @@
 	"time"
 )
 
-// Bins of latency: their width is constant in the logarithm.
+// Latency histogram with logarithmic bins.
 const (
-	binFirst    = 100 * time.Microsecond // Latency of bin 0.
-	binsPerNat  = 8
-	binLast     = 160 // About 13 hours.
-	maxBinCount = math.MaxUint8
+	minBinLatency = 100 * time.Microsecond // Latency of bin 0.
+	binsPerNat    = 8
+	maxBin        = 160 // A latency of about 13 hours.
+	maxBinCount   = math.MaxUint8
 )
 
-// binOf returns the bin of a latency.
 func binOf(latency time.Duration) uint8 {
-	if latency <= binFirst {
+	if latency <= minBinLatency {
 		return 0
 	}
-	bin := math.Round(binsPerNat * math.Log(float64(latency)/float64(binFirst)))
-	return uint8(min(bin, binLast))
+	bin := math.Round(binsPerNat * math.Log(float64(latency)/float64(minBinLatency)))
+	return uint8(min(bin, maxBin))
 }
 
-// logOfBin returns the natural logarithm of a bin's latency over binFirst.
+// logOfBin returns the natural logarithm of the ratio of a bin's latency to minBinLatency.
 func logOfBin(bin uint8) float64 {
 	return float64(bin) / binsPerNat
 }
