--- a/coord/claim/api.go
+++ b/coord/claim/api.go
@@ -49,19 +49,19 @@
 
 // Reasons of a Result.
 const (
-	ReasonNone          Reason = iota
-	ReasonExpired              // The ticket has expired by this instance's clock.
-	ReasonMismatch             // The key was used before with another fingerprint.
-	ReasonIncarnation          // The ticket names another life of this instance.
-	ReasonTableFull            // The table is at its bound.
-	ReasonSealed               // The key was sealed before it ran.
-	ReasonShed                 // No slot in time; sealed.
-	ReasonPeerGone             // The other instance, which may have run it, cannot be asked.
-	ReasonNoAnswer             // The upstream's answer was lost or cut off after the request was sent.
-	ReasonStopping             // The instance is stopping; sealed.
-	ReasonUnknownKey           // No record of the key.
-	ReasonPending              // It was taken and has no outcome yet.
-	ReasonAnswerDropped        // It ran; the answer was too large to keep.
+	ReasonNone                Reason = iota
+	ReasonExpired                    // The ticket has expired by this instance's clock.
+	ReasonFingerprintMismatch        // The key was used before with another fingerprint.
+	ReasonWrongIncarnation           // The ticket names another life of this instance.
+	ReasonTableFull                  // The table is at its bound.
+	ReasonSealed                     // The key was sealed before it ran.
+	ReasonShed                       // No slot in time; sealed.
+	ReasonPeerUnreachable            // The other instance, which may have run it, cannot be asked.
+	ReasonNoAnswer                   // The upstream's answer was lost or cut off after the request was sent.
+	ReasonStopping                   // The instance is stopping; sealed.
+	ReasonUnknownKey                 // No record of the key.
+	ReasonPending                    // It was taken and has no outcome yet.
+	ReasonAnswerDropped              // It ran; the answer was too large to keep.
 )
 
 // Outcome is what became of a dispatched request.
@@ -110,7 +110,7 @@
 // Messages of the claim protocol.
 const (
 	MessageClaim      MessageKind = iota + 1 // Home to witness: may I run the key?
-	MessageAck                               // Witness to home: granted; the witness will never run it.
+	MessageGrant                             // Witness to home: granted; the witness will never run it.
 	MessageRefuse                            // Witness to home: the witness ran or sealed it; Outcome if known.
 	MessageSeal                              // Home to witness: the home will never run it.
 	MessageSealAck                           // Witness to home: nor will the witness.
--- a/coord/claim/deliver.go
+++ b/coord/claim/deliver.go
@@ -19,7 +19,7 @@
 		m.onClaim(at, e, msg)
 	case MessageSeal:
 		m.onSeal(at, e, msg)
-	case MessageAck:
+	case MessageGrant:
 		m.onAck(at, e)
 	case MessageRefuse:
 		m.onRefuse(e, msg)
@@ -46,7 +46,7 @@
 	switch msg.Kind {
 	case MessageClaim, MessageSeal:
 		return role == RoleWitness
-	case MessageAck, MessageRefuse, MessageSealAck:
+	case MessageGrant, MessageRefuse, MessageSealAck:
 		return role == RoleHome && e != nil
 	case MessageOutcome, MessageHandOver:
 		return true
@@ -129,7 +129,7 @@
 	if e.fingerprint == f {
 		return
 	}
-	m.answer(e, Outcome{Result: ResultRefused, Reason: ReasonMismatch})
+	m.answer(e, Outcome{Result: ResultRefused, Reason: ReasonFingerprintMismatch})
 	e.fingerprint = f
 }
 
--- a/coord/claim/exhaustive_test.go
+++ b/coord/claim/exhaustive_test.go
@@ -97,7 +97,7 @@
 		}
 		x.note(ev.side, m.Submit(now, Role(ev.side+1), s))
 	case "give up":
-		x.note(ev.side, m.GiveUp(now, oneKey))
+		x.note(ev.side, m.Abandon(now, oneKey))
 	case "stop":
 		x.note(ev.side, m.Stop(now))
 	case "expire":
@@ -149,7 +149,7 @@
 		}
 		o := m.Lookup(testStart, oneKey)
 		x.saidNotRun = x.saidNotRun || o.Result == ResultNotRun
-		x.saidNotMe[side] = x.saidNotMe[side] || o.Reason == ReasonPeerGone
+		x.saidNotMe[side] = x.saidNotMe[side] || o.Reason == ReasonPeerUnreachable
 	}
 }
 
--- a/coord/claim/keyring.go
+++ b/coord/claim/keyring.go
@@ -24,8 +24,8 @@
 	ErrOtherFleet = errors.New("ticket of another fleet")
 	// ErrExpired says that the ticket has expired.
 	ErrExpired = errors.New("ticket expired")
-	// ErrSigningKey says that a signing key cannot be used.
-	ErrSigningKey = errors.New("signing key not usable")
+	// ErrInvalidSigningKey says that a signing key cannot be used.
+	ErrInvalidSigningKey = errors.New("signing key not usable")
 )
 
 // Bounds of signing keys and tickets, in bytes.
@@ -89,16 +89,16 @@
 // there is none, a secret is too short or an ID is there twice.
 func NewKeyring(keys []SigningKey) (*Keyring, error) {
 	if len(keys) == 0 {
-		return nil, fmt.Errorf("%w: the ring is empty", ErrSigningKey)
+		return nil, fmt.Errorf("%w: the ring is empty", ErrInvalidSigningKey)
 	}
 	seen := make(map[uint32]bool, len(keys))
 	ring := &Keyring{keys: make([]SigningKey, 0, len(keys))}
 	for _, key := range keys {
 		if len(key.Secret) < MinSecretBytes {
-			return nil, fmt.Errorf("%w: key %d has %d bytes, needs %d", ErrSigningKey, key.ID, len(key.Secret), MinSecretBytes)
+			return nil, fmt.Errorf("%w: key %d has %d bytes, needs %d", ErrInvalidSigningKey, key.ID, len(key.Secret), MinSecretBytes)
 		}
 		if seen[key.ID] {
-			return nil, fmt.Errorf("%w: key %d is there twice", ErrSigningKey, key.ID)
+			return nil, fmt.Errorf("%w: key %d is there twice", ErrInvalidSigningKey, key.ID)
 		}
 		seen[key.ID] = true
 		ring.keys = append(ring.keys, SigningKey{ID: key.ID, Secret: append([]byte(nil), key.Secret...)})
--- a/coord/claim/keyring_test.go
+++ b/coord/claim/keyring_test.go
@@ -129,7 +129,7 @@
 
 func TestUnusableSigningKeysAreRefused(t *testing.T) {
 	for _, keys := range [][]SigningKey{nil, {{ID: 1, Secret: []byte("short")}}, {oldKey, oldKey}} {
-		if _, err := NewKeyring(keys); !errors.Is(err, ErrSigningKey) {
+		if _, err := NewKeyring(keys); !errors.Is(err, ErrInvalidSigningKey) {
 			t.Errorf("%d keys: %v", len(keys), err)
 		}
 	}
--- a/coord/claim/machine.go
+++ b/coord/claim/machine.go
@@ -71,11 +71,11 @@
 func (m *Machine) refusal(at int64, role Role, s Submission, e *entry) Reason {
 	switch {
 	case m.roleIn(s.Ticket) != role || role == RoleNone:
-		return ReasonIncarnation
+		return ReasonWrongIncarnation
 	case at >= s.Ticket.Expires.UnixNano():
 		return ReasonExpired
 	case e != nil && e.fingerprint != s.Fingerprint:
-		return ReasonMismatch
+		return ReasonFingerprintMismatch
 	case e != nil:
 		return ReasonNone
 	case m.stopping:
@@ -113,9 +113,9 @@
 	m.resend(at, e)
 }
 
-// GiveUp says that no caller waits for the key any more. A home that has not been granted
+// Abandon says that no caller waits for the key any more. A home that has not been granted
 // the key seals it.
-func (m *Machine) GiveUp(now time.Time, key Key) []Effect {
+func (m *Machine) Abandon(now time.Time, key Key) []Effect {
 	at := m.clock.at(now)
 	e := m.table.find(key)
 	if e == nil {
@@ -227,8 +227,8 @@
 	return m.take()
 }
 
-// Idle reports whether a stopping machine has nothing left to run, settle or hand over.
-func (m *Machine) Idle() bool {
+// Drained reports whether a stopping machine has nothing left to run, settle or hand over.
+func (m *Machine) Drained() bool {
 	return m.stopping && m.running == 0 && len(m.timers.items) == 0
 }
 
@@ -242,8 +242,8 @@
 	return m.table.bytes
 }
 
-// Holds reports whether the table has the key. Deliver needs Message.Ticket when it has not.
-func (m *Machine) Holds(key Key) bool {
+// Contains reports whether the table has the key. Deliver needs Message.Ticket when it has not.
+func (m *Machine) Contains(key Key) bool {
 	return m.table.find(key) != nil
 }
 
--- a/coord/claim/machine_rapid_test.go
+++ b/coord/claim/machine_rapid_test.go
@@ -117,7 +117,7 @@
 			}
 		}
 		n.waiting = rest
-		w.apply(n, n.machine.GiveUp(n.clock(w), key))
+		w.apply(n, n.machine.Abandon(n.clock(w), key))
 		return
 	}
 }
--- a/coord/claim/machine_test.go
+++ b/coord/claim/machine_test.go
@@ -98,7 +98,7 @@
 		t.Fatalf("answer %+v", o)
 	}
 	p.tick(time.Minute)
-	for _, kind := range []MessageKind{MessageClaim, MessageAck, MessageOutcome, MessageOutcomeAck} {
+	for _, kind := range []MessageKind{MessageClaim, MessageGrant, MessageOutcome, MessageOutcomeAck} {
 		if p.sent[kind] != 1 {
 			t.Errorf("kind %d sent %d times", kind, p.sent[kind])
 		}
@@ -128,7 +128,7 @@
 	for range 60 {
 		p.tick(50 * time.Millisecond)
 	}
-	if o := p.lastAnswer(); o.Result != ResultUnknown || o.Reason != ReasonPeerGone {
+	if o := p.lastAnswer(); o.Result != ResultUnknown || o.Reason != ReasonPeerUnreachable {
 		t.Fatalf("answer %+v", o)
 	}
 	p.cut[witnessRef] = false
@@ -150,14 +150,14 @@
 		t.Fatalf("effects %+v", effects)
 	}
 	m.Stop(testStart)
-	if m.Idle() {
+	if m.Drained() {
 		t.Fatal("idle while it runs a key")
 	}
 	m.Finish(testStart, oneKey, Outcome{Result: ResultNotRun})
 	if o := m.Lookup(testStart, oneKey); o.Result != ResultNotRun {
 		t.Fatalf("outcome %+v", o)
 	}
-	if !m.Idle() {
+	if !m.Drained() {
 		t.Fatal("not idle with nothing to hand over")
 	}
 }
@@ -167,7 +167,7 @@
 		m := NewMachine(self, Limits{})
 		for _, role := range []Role{RoleNone, RoleHome, RoleWitness} {
 			effects := m.Submit(testStart, role, submissionOf(testStart, "u"))
-			if r, ok := effects[0].(Refusal); !ok || r.Reason != ReasonIncarnation {
+			if r, ok := effects[0].(Refusal); !ok || r.Reason != ReasonWrongIncarnation {
 				t.Errorf("%s as %d: %+v", self, role, effects)
 			}
 		}
@@ -209,7 +209,7 @@
 	for range 60 {
 		p.tick(50 * time.Millisecond)
 	}
-	if len(p.running) != 0 || p.sent[MessageAck] != 0 || p.sent[MessageSealAck] != 0 {
+	if len(p.running) != 0 || p.sent[MessageGrant] != 0 || p.sent[MessageSealAck] != 0 {
 		t.Fatalf("dispatched at %v, sent %v", p.running, p.sent)
 	}
 	if o := p.lastAnswer(); o.Result != ResultUnknown {
@@ -228,7 +228,7 @@
 		w.add(Key{Ticket: "t", Unique: string(rune('a' + i))}, oneTicket, RoleWitness, Fingerprint{}).state = stateSealed
 	}
 	p.submit(homeRef, "u")
-	p.apply(homeRef, p.machines[homeRef].GiveUp(p.now, Key{Ticket: "t", Unique: "u"}))
+	p.apply(homeRef, p.machines[homeRef].Abandon(p.now, Key{Ticket: "t", Unique: "u"}))
 	if o := p.machines[homeRef].Lookup(p.now, Key{Ticket: "t", Unique: "u"}); o.Result != ResultNotRun {
 		t.Fatalf("outcome %+v", o)
 	}
@@ -259,16 +259,16 @@
 	p.cut[witnessRef] = true
 	p.submit(homeRef, "done")
 	p.machines[witnessRef].add(Key{Ticket: "t", Unique: "done"}, oneTicket, RoleWitness, Fingerprint{}).state = stateGranted
-	p.apply(homeRef, home.Deliver(p.now, witnessRef, Message{Kind: MessageAck, Key: Key{Ticket: "t", Unique: "done"}}))
+	p.apply(homeRef, home.Deliver(p.now, witnessRef, Message{Kind: MessageGrant, Key: Key{Ticket: "t", Unique: "done"}}))
 	p.finish(homeRef, "done", Outcome{Result: ResultAnswered})
 	p.apply(homeRef, home.Stop(p.now))
-	if home.Idle() {
+	if home.Drained() {
 		t.Fatal("idle with three keys to settle")
 	}
 	p.cut[witnessRef] = false
 	p.finish(homeRef, "running", Outcome{Result: ResultAnswered})
 	p.tick(2 * time.Second)
-	if !home.Idle() {
+	if !home.Drained() {
 		t.Fatalf("not idle: %d timers", len(home.timers.items))
 	}
 	for unique, want := range map[string]Result{"claiming": ResultNotRun, "running": ResultAnswered, "done": ResultAnswered} {
--- a/coord/claim/steps.go
+++ b/coord/claim/steps.go
@@ -3,15 +3,15 @@
 // maxBackoff bounds the doublings of the wait between resends.
 const maxBackoff = 24
 
-// wait adds a caller with a deadline. A home without a grant gives up SealTime before the
-// deadline, or halfway to it when less is left, and GrantTime from now at the latest.
+// wait adds a caller with a deadline. A home without a grant gives up SealTimeout before the
+// deadline, or halfway to it when less is left, and GrantTimeout from now at the latest.
 func (e *entry) wait(at, deadline int64, limits Limits) {
 	if !e.waiting {
 		e.deadline, e.giveUp = 0, 0
 	}
 	e.waiting = true
-	giveUp := max(deadline-int64(limits.SealTime), at+(deadline-at)/2)
-	giveUp = min(giveUp, at+int64(limits.GrantTime))
+	giveUp := max(deadline-int64(limits.SealTimeout), at+(deadline-at)/2)
+	giveUp = min(giveUp, at+int64(limits.GrantTimeout))
 	e.deadline = max(e.deadline, deadline)
 	e.giveUp = max(e.giveUp, giveUp)
 }
@@ -28,7 +28,7 @@
 func (m *Machine) seal(at int64, e *entry) {
 	e.state = stateSealing
 	e.backoff = 0
-	e.deadline = min(e.deadline, at+int64(m.limits.SealTime))
+	e.deadline = min(e.deadline, at+int64(m.limits.SealTimeout))
 	if m.shortcuts.sealAlone {
 		m.settle(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
 	}
@@ -72,7 +72,7 @@
 	case e.state == stateDeferred && e.waiting:
 		return MessageClaim
 	case e.state == stateGranted && e.waiting:
-		return MessageAck
+		return MessageGrant
 	case e.final() && !e.known && m.stopping:
 		return MessageHandOver
 	case e.final() && !e.known:
@@ -94,9 +94,9 @@
 
 // pause returns the wait before the next resend. It is bounded only while someone waits.
 func (m *Machine) pause(e *entry) int64 {
-	pause := int64(m.limits.ResendFirst) << e.backoff
+	pause := int64(m.limits.InitialResendDelay) << e.backoff
 	if e.waiting || m.stopping {
-		pause = min(pause, int64(m.limits.ResendMost))
+		pause = min(pause, int64(m.limits.MaxResendDelay))
 	}
 	return pause
 }
@@ -139,7 +139,7 @@
 // this instance has sealed the key and only the other may have run it.
 func (e *entry) lateReason() Reason {
 	if e.state == stateSealing {
-		return ReasonPeerGone
+		return ReasonPeerUnreachable
 	}
 	return ReasonPending
 }
--- a/coord/claim/witness.go
+++ b/coord/claim/witness.go
@@ -8,7 +8,7 @@
 	}
 	switch e.state {
 	case stateGranted:
-		m.send(e, MessageAck)
+		m.send(e, MessageGrant)
 	default:
 		m.send(e, MessageRefuse)
 	}
@@ -24,11 +24,11 @@
 	if m.room(msg.Key, 0) {
 		e := m.add(msg.Key, msg.Ticket, RoleWitness, msg.Fingerprint)
 		e.state = stateGranted
-		m.send(e, MessageAck)
+		m.send(e, MessageGrant)
 		return
 	}
 	if m.stopping {
-		m.reply(msg, MessageAck, Outcome{})
+		m.reply(msg, MessageGrant, Outcome{})
 	}
 }
 
--- a/coord/claim/world_test.go
+++ b/coord/claim/world_test.go
@@ -268,7 +268,7 @@
 	if err := cbor.Unmarshal(p.message, &msg); err != nil {
 		w.t.Fatalf("decode: %v", err)
 	}
-	if !n.machine.Holds(msg.Key) {
+	if !n.machine.Contains(msg.Key) {
 		msg.Ticket = w.truth(msg.Key).ticket
 	}
 	w.apply(n, n.machine.Deliver(n.clock(w), p.from, msg))
--- a/internal/claims/answers.go
+++ b/internal/claims/answers.go
@@ -76,7 +76,7 @@
 
 func unknownCode(reason claim.Reason) result.Code {
 	switch reason {
-	case claim.ReasonPeerGone:
+	case claim.ReasonPeerUnreachable:
 		return result.CodeAttemptNotRun
 	case claim.ReasonUnknownKey:
 		return result.CodeKeyUnknown
@@ -92,13 +92,13 @@
 	switch reason {
 	case claim.ReasonExpired:
 		return exchange.AttemptRefusal(result.CodeTicketExpired, "")
-	case claim.ReasonMismatch:
+	case claim.ReasonFingerprintMismatch:
 		return exchange.AttemptRefusal(result.CodeKeyReused, "")
 	case claim.ReasonTableFull:
 		return exchange.AttemptRefusal(result.CodeClaimTableFull, "")
 	case claim.ReasonStopping:
 		return exchange.AttemptRefusal(result.CodeStopping, "")
-	case claim.ReasonPeerGone:
+	case claim.ReasonPeerUnreachable:
 		return exchange.AttemptRefusal(result.CodeAttemptNotRun, "")
 	default:
 		return exchange.AttemptRefusal(result.CodeTicketIncarnation, "")
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -143,7 +143,7 @@
 	if err := wire.DecodeBody(e, &msg); err != nil {
 		return err
 	}
-	if !c.machine.Holds(msg.Key) {
+	if !c.machine.Contains(msg.Key) {
 		ticket, err := c.keys.Load().Open(msg.Key.Ticket)
 		if err != nil {
 			return fmt.Errorf("claim message %d from %s: %w", msg.Kind, from, err)
@@ -159,7 +159,7 @@
 	c.apply(c.machine.Tick(now))
 	c.resendLookups(now)
 	c.table.Store(&TableSize{Keys: c.machine.Len(), Bytes: c.machine.Bytes()})
-	if !c.idle && c.machine.Idle() {
+	if !c.idle && c.machine.Drained() {
 		c.idle = true
 		close(c.stopped)
 	}
--- a/internal/claims/local.go
+++ b/internal/claims/local.go
@@ -71,7 +71,7 @@
 
 func (c *Claims) submit(ctx context.Context, now time.Time, role claim.Role, r exchange.Request, s claim.Submission, w *waiter) {
 	if role == claim.RoleHome && c.cutOff(s) {
-		w.outcome <- claim.Outcome{Result: claim.ResultRefused, Reason: claim.ReasonPeerGone}
+		w.outcome <- claim.Outcome{Result: claim.ResultRefused, Reason: claim.ReasonPeerUnreachable}
 		return
 	}
 	effects := c.machine.Submit(now, role, s)
@@ -94,7 +94,7 @@
 // The home then takes no part, which leaves the key to the witness.
 func (c *Claims) cutOff(s claim.Submission) bool {
 	to := s.Ticket.Witness
-	return !to.IsZero() && !c.machine.Holds(s.Key) && !c.relay.Reachable(to)
+	return !to.IsZero() && !c.machine.Contains(s.Key) && !c.relay.Reachable(to)
 }
 
 // leave removes a caller whose context has ended and tells it what is known.
@@ -106,7 +106,7 @@
 	waiting.waiters = slices.DeleteFunc(waiting.waiters, func(other *waiter) bool { return other == w })
 	if len(waiting.waiters) == 0 {
 		delete(c.calls, key)
-		c.apply(c.machine.GiveUp(now, key))
+		c.apply(c.machine.Abandon(now, key))
 	}
 	if len(w.outcome) == 0 {
 		w.outcome <- c.machine.Lookup(now, key)
