--- a/coord/claim/bench_test.go
+++ b/coord/claim/bench_test.go
@@ -26,9 +26,9 @@
 }
 
 // order runs one order through a home and a witness and returns the messages and their bytes.
-func order(b *testing.B, home, witness *Machine, now time.Time, s Submission, encode bool) (messages, size int) {
+func runOrder(b *testing.B, home, witness *Machine, now time.Time, s Submission, encode bool) (messages, size int) {
 	effects := home.Submit(now, RoleHome, s)
-	at := home
+	current := home
 	for len(effects) > 0 {
 		effect := effects[0]
 		effects = effects[1:]
@@ -37,18 +37,18 @@
 			messages++
 			msg := effect.Message
 			if encode {
-				size += through(b, &msg)
+				size += roundTrip(b, &msg)
 			}
 			msg.Ticket = s.Ticket
-			from := at.self
-			at = home
+			from := current.self
+			current = home
 			if effect.To == witness.self {
-				at = witness
+				current = witness
 			}
-			effects = append(effects, at.Deliver(now, from, msg)...)
+			effects = append(effects, current.Deliver(now, from, msg)...)
 		case Dispatch:
 			effects = append(effects, home.Finish(now, s.Key, Outcome{Result: ResultAnswered, Answer: bytes.Clone(benchAnswer)})...)
-			at = home
+			current = home
 		}
 	}
 	return messages, size
@@ -58,7 +58,7 @@
 var benchAnswer = make([]byte, 300)
 
 // through encodes and decodes a message and returns its bytes.
-func through(b *testing.B, msg *Message) int {
+func roundTrip(b *testing.B, msg *Message) int {
 	data, err := cbor.Marshal(msg)
 	if err != nil {
 		b.Fatal(err)
@@ -73,7 +73,7 @@
 
 func benchmarkOrders(b *testing.B, encode bool) {
 	ticket := benchTicket(0)
-	text := signedBy(b, ringOf(b, oldKey), ticket)
+	text := mustSign(b, newTestKeyring(b, oldKey), ticket)
 	limits := Limits{MaxKeys: 1 << 30, MaxBytes: 1 << 40}
 	home, witness := NewMachine(ticket.Home, limits), NewMachine(ticket.Witness, limits)
 	now := testStart
@@ -81,7 +81,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		s := Submission{Key: Key{Ticket: text, Unique: strconv.Itoa(i)}, Ticket: ticket, Deadline: now.Add(time.Second)}
-		m, n := order(b, home, witness, now, s, encode)
+		m, n := runOrder(b, home, witness, now, s, encode)
 		messages += m
 		size += n
 	}
@@ -99,18 +99,18 @@
 func BenchmarkOrderOnWire(b *testing.B) { benchmarkOrders(b, true) }
 
 func BenchmarkSign(b *testing.B) {
-	ring, ticket := ringOf(b, oldKey), benchTicket(0)
+	ring, ticket := newTestKeyring(b, oldKey), benchTicket(0)
 	b.ReportAllocs()
 	var text string
 	for b.Loop() {
-		text = signedBy(b, ring, ticket)
+		text = mustSign(b, ring, ticket)
 	}
 	b.ReportMetric(float64(len(text)), "ticket-bytes")
 }
 
 func BenchmarkOpen(b *testing.B) {
-	ring := ringOf(b, oldKey)
-	text := signedBy(b, ring, benchTicket(0))
+	ring := newTestKeyring(b, oldKey)
+	text := mustSign(b, ring, benchTicket(0))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := ring.Open(text); err != nil {
@@ -123,7 +123,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, keys := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
-			home, _ := filled(b, keys, 4)
+			home, _ := filledPair(b, keys, 4)
 			for b.Loop() {
 				home.Tick(testStart)
 			}
@@ -132,16 +132,16 @@
 }
 
 // filled returns a home and a witness that hold settled keys, so many of each ticket.
-func filled(b *testing.B, keys, perTicket int) (home, witness *Machine) {
+func filledPair(b *testing.B, keys, perTicket int) (home, witness *Machine) {
 	limits := Limits{MaxKeys: 1 << 30, MaxBytes: 1 << 40}
 	home, witness = NewMachine(benchTicket(0).Home, limits), NewMachine(benchTicket(0).Witness, limits)
-	ring := ringOf(b, oldKey)
+	ring := newTestKeyring(b, oldKey)
 	for i := 0; i < keys; i += perTicket {
 		ticket := benchTicket(i)
-		text := signedBy(b, ring, ticket)
+		text := mustSign(b, ring, ticket)
 		for j := range perTicket {
 			s := Submission{Key: Key{Ticket: text, Unique: fmt.Sprintf("order-%08d-%d", i, j)}, Ticket: ticket, Deadline: testStart.Add(time.Second)}
-			order(b, home, witness, testStart, s, true)
+			runOrder(b, home, witness, testStart, s, true)
 		}
 	}
 	return home, witness
@@ -154,9 +154,9 @@
 	for _, perTicket := range []int{1, 4, 40} {
 		b.Run(fmt.Sprint(perTicket, "-per-ticket"), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				home, witness := filled(b, keys, perTicket)
-				used := heap() - before
+				before := heapBytes()
+				home, witness := filledPair(b, keys, perTicket)
+				used := heapBytes() - before
 				b.ReportMetric(float64(used)/2/keys, "heap-bytes/key")
 				b.ReportMetric(float64(home.Bytes())/keys, "estimated-bytes/key")
 				runtime.KeepAlive(home)
@@ -166,7 +166,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var s runtime.MemStats
--- a/coord/claim/clock.go
+++ b/coord/claim/clock.go
@@ -6,23 +6,23 @@
 // the wall clock at the first call, moved on by the monotonic clock. It never goes back, also
 // when the wall clock does.
 type clock struct {
-	first time.Time
+	start time.Time
 	last  int64
 }
 
-// at returns the local time of now.
-func (c *clock) at(now time.Time) int64 {
-	if c.first.IsZero() {
-		c.first = now
+// nanos returns the local time of now.
+func (c *clock) nanos(now time.Time) int64 {
+	if c.start.IsZero() {
+		c.start = now
 	}
-	local := c.first.UnixNano() + int64(now.Sub(c.first))
-	if local > c.last {
-		c.last = local
+	nanos := c.start.UnixNano() + int64(now.Sub(c.start))
+	if nanos > c.last {
+		c.last = nanos
 	}
 	return c.last
 }
 
-// time returns the time of a local time.
-func (c *clock) time(local int64) time.Time {
-	return c.first.Add(time.Duration(local - c.first.UnixNano()))
+// wallTime returns the wallTime of a local wallTime.
+func (c *clock) wallTime(nanos int64) time.Time {
+	return c.start.Add(time.Duration(nanos - c.start.UnixNano()))
 }
--- a/coord/claim/exhaustive_test.go
+++ b/coord/claim/exhaustive_test.go
@@ -13,8 +13,8 @@
 	testExpiry = testStart.Add(time.Hour)
 	homeRef    = fleet.Ref{ID: "home", Incarnation: 1}
 	witnessRef = fleet.Ref{ID: "witness", Incarnation: 1}
-	oneTicket  = Ticket{Fleet: "f", Home: homeRef, Witness: witnessRef, Expires: testExpiry}
-	oneKey     = Key{Ticket: "t", Unique: "u"}
+	testTicket = Ticket{Fleet: "f", Home: homeRef, Witness: witnessRef, Expires: testExpiry}
+	testKey    = Key{Ticket: "t", Unique: "u"}
 )
 
 // The two sides of exhaustive.
@@ -26,143 +26,143 @@
 // exhaustive holds one key's home and witness, and every message that was ever sent. A
 // message may be delivered any number of times, at any time or never, which covers loss,
 // duplication, reordering and unbounded delay. Every order of the events is tried.
-type exhaustive struct {
-	machines   [2]*Machine // Nil once crashed.
-	late       [2]bool     // The ticket has expired by the clock of the side.
-	sent       []Send      // Each different message once.
-	started    [2]int
-	mayHaveRun bool // A dispatch has not been finished as not run.
-	saidNotRun bool
-	ranLate    bool    // Dispatched where the ticket had expired.
-	saidNotMe  [2]bool // The side has told its callers that it will not run the key.
+type model struct {
+	machines          [2]*Machine // Nil once crashed.
+	expired           [2]bool     // The ticket has expired by the clock of the side.
+	sent              []Send      // Each different message once.
+	dispatched        [2]int
+	mayHaveRun        bool // A dispatch has not been finished as not run.
+	reportedNotRun    bool
+	dispatchedExpired bool    // Dispatched where the ticket had expired.
+	reportedWontRun   [2]bool // The side has told its callers that it will not run the key.
 }
 
-func newExhaustive(s shortcuts) *exhaustive {
-	x := &exhaustive{}
+func newModel(s mutations) *model {
+	x := &model{}
 	for side, ref := range []fleet.Ref{homeRef, witnessRef} {
 		x.machines[side] = NewMachine(ref, Limits{})
-		x.machines[side].shortcuts = s
+		x.machines[side].mutations = s
 	}
 	return x
 }
 
 // event is one thing that may happen next.
 type event struct {
-	what string
+	kind string
 	side int
 	sent int // Index of the message of "deliver".
 }
 
 // events lists what may happen next.
-func (x *exhaustive) events() []event {
+func (x *model) events() []event {
 	var events []event
 	for side, m := range x.machines {
 		if m == nil {
 			continue
 		}
-		for _, what := range []string{"submit", "submit past expiry", "give up", "stop", "crash", "expire"} {
-			events = append(events, event{what: what, side: side})
+		for _, kind := range []string{"submit", "submit past expiry", "give up", "stop", "crash", "expire"} {
+			events = append(events, event{kind: kind, side: side})
 		}
-		if e := m.table.find(oneKey); e != nil && e.state == stateRunning {
-			for _, what := range []string{"answered", "not run", "unknown"} {
-				events = append(events, event{what: what, side: side})
+		if e := m.table.find(testKey); e != nil && e.state == stateRunning {
+			for _, kind := range []string{"answered", "not run", "unknown"} {
+				events = append(events, event{kind: kind, side: side})
 			}
 		}
 	}
 	for i := range x.sent {
-		events = append(events, event{what: "deliver", sent: i})
+		events = append(events, event{kind: "deliver", sent: i})
 	}
 	return events
 }
 
-func (x *exhaustive) now(side int) time.Time {
-	if x.late[side] {
+func (x *model) now(side int) time.Time {
+	if x.expired[side] {
 		return testExpiry.Add(time.Minute)
 	}
 	return testStart
 }
 
 // step makes one event happen.
-func (x *exhaustive) step(ev event) {
-	if ev.what == "deliver" {
+func (x *model) step(ev event) {
+	if ev.kind == "deliver" {
 		x.deliver(x.sent[ev.sent])
 		return
 	}
 	m, now := x.machines[ev.side], x.now(ev.side)
-	switch ev.what {
+	switch ev.kind {
 	case "submit", "submit past expiry":
-		s := Submission{Key: oneKey, Ticket: oneTicket, Deadline: now.Add(time.Minute)}
-		if ev.what != "submit" {
+		s := Submission{Key: testKey, Ticket: testTicket, Deadline: now.Add(time.Minute)}
+		if ev.kind != "submit" {
 			s.Deadline = testExpiry.Add(time.Hour)
 		}
-		x.note(ev.side, m.Submit(now, Role(ev.side+1), s))
+		x.record(ev.side, m.Submit(now, Role(ev.side+1), s))
 	case "give up":
-		x.note(ev.side, m.Abandon(now, oneKey))
+		x.record(ev.side, m.Abandon(now, testKey))
 	case "stop":
-		x.note(ev.side, m.Stop(now))
+		x.record(ev.side, m.Stop(now))
 	case "expire":
-		x.late[ev.side] = true
-		x.note(ev.side, m.Tick(x.now(ev.side)))
+		x.expired[ev.side] = true
+		x.record(ev.side, m.Tick(x.now(ev.side)))
 	case "crash":
 		x.machines[ev.side] = nil
 	case "answered":
-		x.note(ev.side, m.Finish(now, oneKey, Outcome{Result: ResultAnswered, Answer: []byte("a")}))
+		x.record(ev.side, m.Finish(now, testKey, Outcome{Result: ResultAnswered, Answer: []byte("a")}))
 	case "unknown":
-		x.note(ev.side, m.Finish(now, oneKey, Outcome{Result: ResultUnknown, Reason: ReasonNoAnswer}))
+		x.record(ev.side, m.Finish(now, testKey, Outcome{Result: ResultUnknown, Reason: ReasonNoAnswer}))
 	case "not run":
 		x.mayHaveRun = false
-		x.note(ev.side, m.Finish(now, oneKey, Outcome{Result: ResultNotRun, Reason: ReasonShed}))
+		x.record(ev.side, m.Finish(now, testKey, Outcome{Result: ResultNotRun, Reason: ReasonShed}))
 	}
 }
 
-func (x *exhaustive) deliver(send Send) {
+func (x *model) deliver(send Send) {
 	msg := send.Message
-	msg.Ticket = oneTicket
+	msg.Ticket = testTicket
 	from, side := homeRef, sideWitness
 	if send.To == homeRef {
 		from, side = witnessRef, sideHome
 	}
 	if m := x.machines[side]; m != nil {
-		x.note(side, m.Deliver(x.now(side), from, msg))
+		x.record(side, m.Deliver(x.now(side), from, msg))
 	}
 }
 
-// note records effects.
-func (x *exhaustive) note(side int, effects []Effect) {
+// record records effects.
+func (x *model) record(side int, effects []Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case Send:
-			if !slices.ContainsFunc(x.sent, func(s Send) bool { return sentOf(s) == sentOf(effect) }) {
+			if !slices.ContainsFunc(x.sent, func(s Send) bool { return messageIDOf(s) == messageIDOf(effect) }) {
 				x.sent = append(x.sent, effect)
 			}
 		case Dispatch:
-			x.started[side]++
-			x.ranLate = x.ranLate || x.late[side]
+			x.dispatched[side]++
+			x.dispatchedExpired = x.dispatchedExpired || x.expired[side]
 			x.mayHaveRun = true
 		case Answer:
-			x.saidNotRun = x.saidNotRun || effect.Outcome.Result == ResultNotRun
+			x.reportedNotRun = x.reportedNotRun || effect.Outcome.Result == ResultNotRun
 		}
 	}
 	for side, m := range x.machines {
 		if m == nil {
 			continue
 		}
-		o := m.Lookup(testStart, oneKey)
-		x.saidNotRun = x.saidNotRun || o.Result == ResultNotRun
-		x.saidNotMe[side] = x.saidNotMe[side] || o.Reason == ReasonPeerUnreachable
+		o := m.Lookup(testStart, testKey)
+		x.reportedNotRun = x.reportedNotRun || o.Result == ResultNotRun
+		x.reportedWontRun[side] = x.reportedWontRun[side] || o.Reason == ReasonPeerUnreachable
 	}
 }
 
 // fault names the promise that is broken, or is empty.
-func (x *exhaustive) fault() string {
+func (x *model) violation() string {
 	switch {
-	case x.started[sideHome]+x.started[sideWitness] > 1:
+	case x.dispatched[sideHome]+x.dispatched[sideWitness] > 1:
 		return "dispatched twice"
-	case x.saidNotMe[sideHome] && x.started[sideHome] > 0, x.saidNotMe[sideWitness] && x.started[sideWitness] > 0:
+	case x.reportedWontRun[sideHome] && x.dispatched[sideHome] > 0, x.reportedWontRun[sideWitness] && x.dispatched[sideWitness] > 0:
 		return "dispatched where it was said not to be"
-	case x.ranLate:
+	case x.dispatchedExpired:
 		return "dispatched after the ticket expired"
-	case x.saidNotRun && x.mayHaveRun:
+	case x.reportedNotRun && x.mayHaveRun:
 		return "said not run of a key that may have run"
 	default:
 		return ""
@@ -170,74 +170,74 @@
 }
 
 // sentID tells messages apart.
-type sentID struct {
+type messageID struct {
 	to     fleet.Ref
 	kind   MessageKind
 	result Result
 	reason Reason
 }
 
-func sentOf(s Send) sentID {
-	return sentID{s.To, s.Message.Kind, s.Message.Outcome.Result, s.Message.Outcome.Reason}
+func messageIDOf(s Send) messageID {
+	return messageID{s.To, s.Message.Kind, s.Message.Outcome.Result, s.Message.Outcome.Reason}
 }
 
 // sideID is all that later events at one side depend on.
 type sideID struct {
-	dead, stopping, held, waiting, known, long bool
-	state                                      state
-	result                                     Result
-	reason                                     Reason
+	crashed, stopping, recorded, waiting, peerHasOutcome, deadlineAfterExpiry bool
+	state                                                                     state
+	result                                                                    Result
+	reason                                                                    Reason
 }
 
-func sideOf(m *Machine) sideID {
+func sideIDOf(m *Machine) sideID {
 	if m == nil {
-		return sideID{dead: true}
+		return sideID{crashed: true}
 	}
-	e := m.table.find(oneKey)
+	e := m.table.find(testKey)
 	if e == nil {
 		return sideID{stopping: m.stopping}
 	}
 	return sideID{
-		stopping: m.stopping, held: true, waiting: e.waiting, known: e.known, long: e.deadline > testExpiry.UnixNano(),
+		stopping: m.stopping, recorded: true, waiting: e.waiting, peerHasOutcome: e.peerHasOutcome, deadlineAfterExpiry: e.deadline > testExpiry.UnixNano(),
 		state: e.state, result: e.outcome.Result, reason: e.outcome.Reason,
 	}
 }
 
 // stateID is all that later events depend on.
 type stateID struct {
-	sides                  [2]sideID
-	late                   [2]bool
-	sent                   uint64 // One bit for each message of seen.
-	started                [2]int
-	saidNotMe              [2]bool
-	mayHaveRun, saidNotRun bool
-	ranLate                bool
+	sides                      [2]sideID
+	expired                    [2]bool
+	sent                       uint64 // One bit for each message of seen.
+	dispatched                 [2]int
+	reportedWontRun            [2]bool
+	mayHaveRun, reportedNotRun bool
+	dispatchedExpired          bool
 }
 
 // explorer visits every reachable state, the nearest first.
 type explorer struct {
-	visited map[stateID]bool
-	bits    map[sentID]uint64
-	todo    []visit
+	visited       map[stateID]bool
+	messageBits   map[messageID]uint64
+	pendingVisits []visit
 }
 
 // visit is a state to visit, with the event that led to it.
 type visit struct {
-	x      *exhaustive
+	x      *model
 	ev     event
 	parent int // Index in explorer.todo.
 }
 
-func (ex *explorer) stateOf(x *exhaustive) stateID {
+func (ex *explorer) stateIDOf(x *model) stateID {
 	id := stateID{
-		sides: [2]sideID{sideOf(x.machines[sideHome]), sideOf(x.machines[sideWitness])},
-		late:  x.late, started: x.started, saidNotMe: x.saidNotMe, ranLate: x.ranLate, mayHaveRun: x.mayHaveRun, saidNotRun: x.saidNotRun,
+		sides:   [2]sideID{sideIDOf(x.machines[sideHome]), sideIDOf(x.machines[sideWitness])},
+		expired: x.expired, dispatched: x.dispatched, reportedWontRun: x.reportedWontRun, dispatchedExpired: x.dispatchedExpired, mayHaveRun: x.mayHaveRun, reportedNotRun: x.reportedNotRun,
 	}
 	for _, s := range x.sent {
-		bit, ok := ex.bits[sentOf(s)]
+		bit, ok := ex.messageBits[messageIDOf(s)]
 		if !ok {
-			bit = 1 << len(ex.bits)
-			ex.bits[sentOf(s)] = bit
+			bit = 1 << len(ex.messageBits)
+			ex.messageBits[messageIDOf(s)] = bit
 		}
 		id.sent |= bit
 	}
@@ -245,14 +245,14 @@
 }
 
 // explore returns the number of reachable states, or the events that led to a fault.
-func explore(s shortcuts) (states int, fault string, path []event) {
-	ex := &explorer{visited: make(map[stateID]bool), bits: make(map[sentID]uint64)}
-	ex.add(visit{x: newExhaustive(s), parent: -1})
-	for at := 0; at < len(ex.todo); at++ {
-		x := ex.todo[at].x
-		ex.todo[at].x = nil
-		if fault := x.fault(); fault != "" {
-			return len(ex.visited), fault, ex.path(at)
+func explore(s mutations) (states int, violation string, path []event) {
+	ex := &explorer{visited: make(map[stateID]bool), messageBits: make(map[messageID]uint64)}
+	ex.add(visit{x: newModel(s), parent: -1})
+	for at := 0; at < len(ex.pendingVisits); at++ {
+		x := ex.pendingVisits[at].x
+		ex.pendingVisits[at].x = nil
+		if violation := x.violation(); violation != "" {
+			return len(ex.visited), violation, ex.path(at)
 		}
 		for _, ev := range x.events() {
 			next := x.clone()
@@ -265,82 +265,82 @@
 
 // add puts a state on the list unless it was there before.
 func (ex *explorer) add(v visit) {
-	id := ex.stateOf(v.x)
+	id := ex.stateIDOf(v.x)
 	if ex.visited[id] {
 		return
 	}
 	ex.visited[id] = true
-	ex.todo = append(ex.todo, v)
+	ex.pendingVisits = append(ex.pendingVisits, v)
 }
 
 func (ex *explorer) path(at int) []event {
 	var path []event
-	for ; ex.todo[at].parent >= 0; at = ex.todo[at].parent {
-		path = append(path, ex.todo[at].ev)
+	for ; ex.pendingVisits[at].parent >= 0; at = ex.pendingVisits[at].parent {
+		path = append(path, ex.pendingVisits[at].ev)
 	}
 	slices.Reverse(path)
 	return path
 }
 
-func (x *exhaustive) clone() *exhaustive {
+func (x *model) clone() *model {
 	c := *x
 	c.sent = slices.Clone(x.sent)
 	for side, m := range x.machines {
 		if m != nil {
-			c.machines[side] = m.cloneOne()
+			c.machines[side] = m.cloneOneKey()
 		}
 	}
 	return &c
 }
 
 // cloneOne copies a machine that holds oneKey or nothing.
-func (m *Machine) cloneOne() *Machine {
+func (m *Machine) cloneOneKey() *Machine {
 	c := *m
 	c.table = newTable()
-	c.timers = queue[*entry]{}
-	e := m.table.find(oneKey)
+	c.timers = timerQueue[*entry]{}
+	e := m.table.find(testKey)
 	if e == nil {
 		return &c
 	}
-	b, held := *e.book, *e
-	b.at, held.at = noPlace, noPlace
-	b.first, held.book = &held, &b
+	groupCopy, entryCopy := *e.group, *e
+	groupCopy.index, entryCopy.index = notQueued, notQueued
+	groupCopy.first, entryCopy.group = &entryCopy, &groupCopy
 	c.table.bytes = m.table.bytes
-	c.table.books[b.text] = &b
-	c.table.entries[entryID{book: &b, unique: held.unique}] = &held
-	c.table.expiry.set(&b)
-	if e.at != noPlace {
-		c.timers.set(&held)
+	c.table.groups[groupCopy.text] = &groupCopy
+	c.table.entries[entryID{group: &groupCopy, unique: entryCopy.unique}] = &entryCopy
+	c.table.expiry.set(&groupCopy)
+	if e.index != notQueued {
+		c.timers.set(&entryCopy)
 	}
 	return &c
 }
 
 // mutants are the shortcuts that break the promises.
 var mutants = []struct {
-	name string
-	cut  shortcuts
+	name      string
+	mutations mutations
 }{
-	{"dispatch without the grant", shortcuts{dispatchUngranted: true}},
-	{"dispatch on a grant after the seal", shortcuts{dispatchSealed: true}},
-	{"seal without the witness", shortcuts{sealAlone: true}},
-	{"witness runs a granted key", shortcuts{runGranted: true}},
+	{"dispatch without the grant", mutations{dispatchWithoutGrant: true}},
+	{"dispatch on a grant after the seal", mutations{dispatchAfterSeal: true}},
+	{"seal without the witness", mutations{sealWithoutWitness: true}},
+	{"witness runs a granted key", mutations{runAfterGrant: true}},
 }
 
-func TestEveryOrderOfOneKey(t *testing.T) {
+func TestModelCheckOneKey(t *testing.T) {
 	t.Parallel()
-	states, fault, path := explore(shortcuts{})
-	if fault != "" {
-		t.Fatalf("%s after %+v", fault, path)
+	states, violation, path := explore(mutations{})
+	if violation != "" {
+		t.Fatalf("%s after %+v", violation, path)
 	}
 	t.Logf("%d states", states)
 }
 
-func TestEveryOrderFindsEachShortcut(t *testing.T) {
+func TestModelCheckFindsEachMutation(t *testing.T) {
 	for _, mutant := range mutants {
-		_, fault, path := explore(mutant.cut)
-		if fault == "" {
+		_, violation, path := explore(mutant.mutations)
+		if violation == "" {
 			t.Errorf("%s: not found", mutant.name)
 		}
-		t.Logf("%s: %s after %+v", mutant.name, fault, path)
+		t.Logf("%s: %s after %+v", mutant.name, violation, path)
 	}
 }
--- a/coord/claim/home.go
+++ b/coord/claim/home.go
@@ -2,29 +2,29 @@
 
 // onAck handles the witness's grant at the home. The witness never runs the key after it, so
 // a home that has sealed the key may say so at once.
-func (m *Machine) onAck(at int64, e *entry) {
+func (m *Machine) onGrant(nowNanos int64, e *entry) {
 	switch e.state {
 	case stateClaiming:
-		if at >= e.book.ticket.Expires.UnixNano() {
-			m.sealGranted(at, e)
+		if nowNanos >= e.group.ticket.Expires.UnixNano() {
+			m.sealAfterGrant(nowNanos, e)
 			return
 		}
 		m.dispatch(e)
 	case stateSealing:
-		if m.shortcuts.dispatchSealed {
+		if m.mutations.dispatchAfterSeal {
 			m.dispatch(e)
 			return
 		}
-		m.sealGranted(at, e)
+		m.sealAfterGrant(nowNanos, e)
 	case stateSealed, stateDone:
 		m.send(e, MessageOutcome)
 	}
 }
 
 // sealGranted seals a key that the witness has granted and tells the witness.
-func (m *Machine) sealGranted(at int64, e *entry) {
+func (m *Machine) sealAfterGrant(nowNanos int64, e *entry) {
 	m.settle(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
-	m.resend(at, e)
+	m.resend(nowNanos, e)
 }
 
 // onRefuse handles a refusal at the home: the witness ran or runs the key, or has sealed it,
@@ -35,12 +35,12 @@
 	default:
 		return
 	}
-	m.adopt(e, msg.Fingerprint)
+	m.adoptFingerprint(e, msg.Fingerprint)
 	switch msg.Outcome.Result {
 	case ResultAnswered, ResultNotRun, ResultUnknown:
-		m.learn(e, msg.Outcome)
+		m.settleFromPeer(e, msg.Outcome)
 	case ResultRefused:
-		m.learn(e, Outcome{Result: ResultUnknown, Reason: msg.Outcome.Reason})
+		m.settleFromPeer(e, Outcome{Result: ResultUnknown, Reason: msg.Outcome.Reason})
 	default:
 		e.state = stateDeferred
 		m.schedule(e)
@@ -51,6 +51,6 @@
 func (m *Machine) onSealAck(e *entry) {
 	switch e.state {
 	case stateSealing, stateDeferred:
-		m.learn(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
+		m.settleFromPeer(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
 	}
 }
--- a/coord/claim/keyring.go
+++ b/coord/claim/keyring.go
@@ -51,7 +51,7 @@
 }
 
 // signed is what a ticket's text holds.
-type signed struct {
+type signedTicket struct {
 	_      struct{} `cbor:",toarray"`
 	KeyID  uint32
 	Ticket []byte
@@ -59,7 +59,7 @@
 }
 
 // decoding refuses what encoding never writes.
-var decoding = mustDecMode(cbor.DecOptions{
+var ticketDecMode = mustDecMode(cbor.DecOptions{
 	DupMapKey:       cbor.DupMapKeyEnforcedAPF,
 	IndefLength:     cbor.IndefLengthForbidden,
 	TagsMd:          cbor.TagsAllowed,
@@ -67,7 +67,7 @@
 })
 
 // encoding writes the expiry as whole seconds.
-var encoding = mustEncMode(cbor.EncOptions{Time: cbor.TimeUnix})
+var ticketEncMode = mustEncMode(cbor.EncOptions{Time: cbor.TimeUnix})
 
 func mustDecMode(o cbor.DecOptions) cbor.DecMode {
 	mode, err := o.DecMode()
@@ -109,15 +109,15 @@
 // Sign returns the text of a ticket: base64url without padding. The expiry is cut to whole
 // seconds. It returns ErrMalformed for a ticket without a home, or whose witness is its home.
 func (k *Keyring) Sign(t Ticket) (string, error) {
-	if err := t.check(); err != nil {
+	if err := t.validate(); err != nil {
 		return "", err
 	}
-	body, err := encoding.Marshal(t)
+	body, err := ticketEncMode.Marshal(t)
 	if err != nil {
 		return "", fmt.Errorf("encode ticket of home %s: %w", t.Home, err)
 	}
 	key := k.keys[0]
-	data, err := encoding.Marshal(signed{KeyID: key.ID, Ticket: body, MAC: key.mac(body)})
+	data, err := ticketEncMode.Marshal(signedTicket{KeyID: key.ID, Ticket: body, MAC: key.mac(body)})
 	if err != nil {
 		return "", fmt.Errorf("encode signed ticket of home %s: %w", t.Home, err)
 	}
@@ -138,24 +138,24 @@
 	if err != nil {
 		return Ticket{}, fmt.Errorf("%w: text of %d bytes: %w", ErrMalformed, len(text), err)
 	}
-	var s signed
-	if err := decoding.Unmarshal(data, &s); err != nil {
+	var s signedTicket
+	if err := ticketDecMode.Unmarshal(data, &s); err != nil {
 		return Ticket{}, fmt.Errorf("%w: %d bytes: %w", ErrMalformed, len(data), err)
 	}
 	if err := k.authenticate(s); err != nil {
 		return Ticket{}, err
 	}
 	var t Ticket
-	if err := decoding.Unmarshal(s.Ticket, &t); err != nil {
+	if err := ticketDecMode.Unmarshal(s.Ticket, &t); err != nil {
 		return Ticket{}, fmt.Errorf("%w: body of %d bytes: %w", ErrMalformed, len(s.Ticket), err)
 	}
-	if err := t.check(); err != nil {
+	if err := t.validate(); err != nil {
 		return Ticket{}, err
 	}
 	return t, nil
 }
 
-func (k *Keyring) authenticate(s signed) error {
+func (k *Keyring) authenticate(s signedTicket) error {
 	for _, key := range k.keys {
 		if key.ID != s.KeyID {
 			continue
@@ -186,7 +186,7 @@
 }
 
 // check returns ErrMalformed for a ticket that no instance could honour.
-func (t Ticket) check() error {
+func (t Ticket) validate() error {
 	if t.Home.IsZero() {
 		return fmt.Errorf("%w: no home", ErrMalformed)
 	}
--- a/coord/claim/keyring_test.go
+++ b/coord/claim/keyring_test.go
@@ -16,7 +16,7 @@
 	newKey = SigningKey{ID: 2, Secret: []byte("fedcba9876543210")}
 )
 
-func ringOf(t testing.TB, keys ...SigningKey) *Keyring {
+func newTestKeyring(t testing.TB, keys ...SigningKey) *Keyring {
 	t.Helper()
 	ring, err := NewKeyring(keys)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return ring
 }
 
-func signedBy(t testing.TB, ring *Keyring, ticket Ticket) string {
+func mustSign(t testing.TB, ring *Keyring, ticket Ticket) string {
 	t.Helper()
 	text, err := ring.Sign(ticket)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return text
 }
 
-func TestTicketSurvivesSigning(t *testing.T) {
-	ring := ringOf(t, oldKey)
+func TestTicketRoundTrip(t *testing.T) {
+	ring := newTestKeyring(t, oldKey)
 	rapid.Check(t, func(t *rapid.T) {
 		ticket := Ticket{
 			Fleet:   rapid.StringN(0, 20, 20).Draw(t, "fleet"),
@@ -64,9 +64,9 @@
 }
 
 // A ticket with any bit changed is not opened.
-func TestChangedTicketIsRefused(t *testing.T) {
-	ring := ringOf(t, oldKey)
-	text := signedBy(t, ring, oneTicket)
+func TestTamperedTicketIsRejected(t *testing.T) {
+	ring := newTestKeyring(t, oldKey)
+	text := mustSign(t, ring, testTicket)
 	for i := range text {
 		for bit := range 8 {
 			changed := []byte(text)
@@ -81,9 +81,9 @@
 	}
 }
 
-func TestTicketErrorsAreToldApart(t *testing.T) {
-	ring := ringOf(t, oldKey)
-	forger := ringOf(t, SigningKey{ID: 1, Secret: []byte("another secret 16")})
+func TestTicketErrors(t *testing.T) {
+	ring := newTestKeyring(t, oldKey)
+	forger := newTestKeyring(t, SigningKey{ID: 1, Secret: []byte("another secret 16")})
 	cases := []struct {
 		name string
 		text string
@@ -92,60 +92,60 @@
 		{"empty", "", ErrMalformed},
 		{"not base64", "%%%", ErrMalformed},
 		{"not a ticket", "AAAA", ErrMalformed},
-		{"forged", signedBy(t, forger, oneTicket), ErrForged},
-		{"unknown key", signedBy(t, ringOf(t, newKey), oneTicket), ErrUnknownSigningKey},
+		{"forged", mustSign(t, forger, testTicket), ErrForged},
+		{"unknown key", mustSign(t, newTestKeyring(t, newKey), testTicket), ErrUnknownSigningKey},
 	}
 	for _, c := range cases {
 		if _, err := ring.Open(c.text); !errors.Is(err, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, err, c.want)
 		}
 	}
-	if err := oneTicket.CheckAt("other", testStart); !errors.Is(err, ErrOtherFleet) {
+	if err := testTicket.CheckAt("other", testStart); !errors.Is(err, ErrOtherFleet) {
 		t.Errorf("other fleet: %v", err)
 	}
-	if err := oneTicket.CheckAt("f", testExpiry); !errors.Is(err, ErrExpired) {
+	if err := testTicket.CheckAt("f", testExpiry); !errors.Is(err, ErrExpired) {
 		t.Errorf("expired: %v", err)
 	}
-	if err := oneTicket.CheckAt("f", testStart); err != nil {
+	if err := testTicket.CheckAt("f", testStart); err != nil {
 		t.Errorf("good ticket: %v", err)
 	}
 }
 
 // At each step of a rotation every instance opens what every other one signs.
-func TestRotationHasNoGap(t *testing.T) {
+func TestKeyRotationHasNoGap(t *testing.T) {
 	steps := [][]SigningKey{{oldKey}, {oldKey, newKey}, {newKey, oldKey}, {newKey}}
 	for i := 1; i < len(steps); i++ {
-		before, after := ringOf(t, steps[i-1]...), ringOf(t, steps[i]...)
+		before, after := newTestKeyring(t, steps[i-1]...), newTestKeyring(t, steps[i]...)
 		if i < len(steps)-1 {
-			if _, err := after.Open(signedBy(t, before, oneTicket)); err != nil {
+			if _, err := after.Open(mustSign(t, before, testTicket)); err != nil {
 				t.Errorf("step %d: ticket of before: %v", i, err)
 			}
 		}
-		if _, err := before.Open(signedBy(t, after, oneTicket)); err != nil {
+		if _, err := before.Open(mustSign(t, after, testTicket)); err != nil {
 			t.Errorf("step %d: ticket of after: %v", i, err)
 		}
 	}
 }
 
-func TestUnusableSigningKeysAreRefused(t *testing.T) {
+func TestInvalidSigningKeysAreRejected(t *testing.T) {
 	for _, keys := range [][]SigningKey{nil, {{ID: 1, Secret: []byte("short")}}, {oldKey, oldKey}} {
 		if _, err := NewKeyring(keys); !errors.Is(err, ErrInvalidSigningKey) {
 			t.Errorf("%d keys: %v", len(keys), err)
 		}
 	}
 	same := Ticket{Home: homeRef, Witness: homeRef}
-	if _, err := ringOf(t, oldKey).Sign(same); !errors.Is(err, ErrMalformed) {
+	if _, err := newTestKeyring(t, oldKey).Sign(same); !errors.Is(err, ErrMalformed) {
 		t.Errorf("home as witness: %v", err)
 	}
 }
 
 // Text that opens is one that the ring signed: signing its ticket again gives the same text.
 func FuzzOpen(f *testing.F) {
-	ring := ringOf(f, oldKey)
-	text := signedBy(f, ring, oneTicket)
+	ring := newTestKeyring(f, oldKey)
+	text := mustSign(f, ring, testTicket)
 	f.Add(text)
 	f.Add(text[:len(text)-3])
-	f.Add(signedBy(f, ringOf(f, newKey), oneTicket))
+	f.Add(mustSign(f, newTestKeyring(f, newKey), testTicket))
 	f.Add("")
 	f.Add("gwFBoFA")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -153,7 +153,7 @@
 		if err != nil {
 			return
 		}
-		if again := signedBy(t, ring, ticket); again != text {
+		if again := mustSign(t, ring, ticket); again != text {
 			t.Fatalf("opened %q, signs as %q", text, again)
 		}
 	})
@@ -163,7 +163,7 @@
 func FuzzDeliver(f *testing.F) {
 	for kind := MessageClaim; kind <= MessageHandOver; kind++ {
 		for before := range uint8(5) {
-			msg := Message{Kind: kind, Key: oneKey, Outcome: Outcome{Result: Result(kind%3) + 1}}
+			msg := Message{Kind: kind, Key: testKey, Outcome: Outcome{Result: Result(kind%3) + 1}}
 			data, err := cbor.Marshal(msg)
 			if err != nil {
 				f.Fatal(err)
@@ -177,22 +177,22 @@
 		if cbor.Unmarshal(data, &msg) != nil {
 			return
 		}
-		msg.Ticket = oneTicket
+		msg.Ticket = testTicket
 		side := sideWitness
 		if home {
 			side = sideHome
 		}
-		x := newExhaustive(shortcuts{})
+		x := newModel(mutations{})
 		for _, ev := range []string{"submit", "not run", "give up", "answered"}[:before%5] {
-			x.step(event{what: ev, side: side})
+			x.step(event{kind: ev, side: side})
 		}
-		state := sideOf(x.machines[side]).state
-		x.note(side, x.machines[side].Deliver(testStart, x.machines[1-side].self, msg))
-		after := sideOf(x.machines[side]).state
+		state := sideIDOf(x.machines[side]).state
+		x.record(side, x.machines[side].Deliver(testStart, x.machines[1-side].self, msg))
+		after := sideIDOf(x.machines[side]).state
 		if (state == stateSealed || state == stateDone || state == stateRunning) && state != after {
 			t.Fatalf("message %+v moved state %d to %d", msg, state, after)
 		}
-		if x.started[side] > 1 {
+		if x.dispatched[side] > 1 {
 			t.Fatalf("message %+v dispatched again", msg)
 		}
 	})
--- a/coord/claim/limits.go
+++ b/coord/claim/limits.go
@@ -25,7 +25,7 @@
 )
 
 // sealReserveShare is the part of MaxKeys and MaxBytes, as a divisor, that is kept free for seals.
-const sealReserveShare = 8
+const sealReserveDivisor = 8
 
 // DefaultLimits returns the limits of an entry instance.
 func DefaultLimits() Limits {
@@ -53,9 +53,9 @@
 	return l
 }
 
-func orDefault[T int | time.Duration](value, otherwise T) T {
+func orDefault[T int | time.Duration](value, fallback T) T {
 	if value <= 0 {
-		return otherwise
+		return fallback
 	}
 	return value
 }
--- a/coord/claim/machine.go
+++ b/coord/claim/machine.go
@@ -8,7 +8,7 @@
 
 // expiryRetry is the time after which an expired ticket is looked at again while one of its
 // keys still runs or has callers waiting.
-const expiryRetry = time.Second
+const expiryRetryInterval = time.Second
 
 // Machine is the claim state of one life of an instance.
 type Machine struct {
@@ -16,20 +16,20 @@
 	limits    Limits
 	clock     clock
 	table     table
-	timers    queue[*entry]
+	timers    timerQueue[*entry]
 	running   int
 	stopping  bool
 	effects   []Effect
-	shortcuts shortcuts
+	mutations mutations
 }
 
 // shortcuts leaves out rules of the protocol. Only tests set it, to show that the invariants
 // that they check catch each.
-type shortcuts struct {
-	dispatchUngranted bool // The home dispatches without the witness's grant.
-	dispatchSealed    bool // The home dispatches on a grant that comes after its seal.
-	sealAlone         bool // The home says ResultNotRun without the witness.
-	runGranted        bool // The witness runs a key that it has granted.
+type mutations struct {
+	dispatchWithoutGrant bool // The home dispatches without the witness's grant.
+	dispatchAfterSeal    bool // The home dispatches on a grant that comes after its seal.
+	sealWithoutWitness   bool // The home says ResultNotRun without the witness.
+	runAfterGrant        bool // The witness runs a key that it has granted.
 }
 
 // NewMachine returns the empty state of one life of an instance. Limits that are zero take
@@ -45,34 +45,34 @@
 // Submit hands over a caller's request, in the part that this instance plays for it. The
 // answer is a Refusal among the effects, or an Answer among the effects of this or a later call.
 func (m *Machine) Submit(now time.Time, role Role, s Submission) []Effect {
-	at := m.clock.at(now)
+	nowNanos := m.clock.nanos(now)
 	e := m.table.find(s.Key)
-	if reason := m.refusal(at, role, s, e); reason != ReasonNone {
+	if reason := m.refusalReason(nowNanos, role, s, e); reason != ReasonNone {
 		m.emit(Refusal{Key: s.Key, Reason: reason})
-		return m.take()
+		return m.takeEffects()
 	}
-	deadline := at + int64(s.Deadline.Sub(now))
+	deadline := nowNanos + int64(s.Deadline.Sub(now))
 	if e != nil {
-		m.join(at, e, deadline)
-		return m.take()
+		m.join(nowNanos, e, deadline)
+		return m.takeEffects()
 	}
 	e = m.add(s.Key, s.Ticket, role, s.Fingerprint)
-	e.wait(at, deadline, m.limits)
-	if role == RoleWitness || s.Ticket.Witness.IsZero() || m.shortcuts.dispatchUngranted {
+	e.addCaller(nowNanos, deadline, m.limits)
+	if role == RoleWitness || s.Ticket.Witness.IsZero() || m.mutations.dispatchWithoutGrant {
 		m.dispatch(e)
-		return m.take()
+		return m.takeEffects()
 	}
 	e.state = stateClaiming
-	m.resend(at, e)
-	return m.take()
+	m.resend(nowNanos, e)
+	return m.takeEffects()
 }
 
 // refusal says why a submission is not taken, or ReasonNone.
-func (m *Machine) refusal(at int64, role Role, s Submission, e *entry) Reason {
+func (m *Machine) refusalReason(nowNanos int64, role Role, s Submission, e *entry) Reason {
 	switch {
 	case m.roleIn(s.Ticket) != role || role == RoleNone:
 		return ReasonWrongIncarnation
-	case at >= s.Ticket.Expires.UnixNano():
+	case nowNanos >= s.Ticket.Expires.UnixNano():
 		return ReasonExpired
 	case e != nil && e.fingerprint != s.Fingerprint:
 		return ReasonFingerprintMismatch
@@ -80,7 +80,7 @@
 		return ReasonNone
 	case m.stopping:
 		return ReasonStopping
-	case !m.room(s.Key, 0):
+	case !m.hasRoom(s.Key, 0):
 		return ReasonTableFull
 	default:
 		return ReasonNone
@@ -100,40 +100,40 @@
 }
 
 // join adds a caller to a key that is in the table.
-func (m *Machine) join(at int64, e *entry, deadline int64) {
-	if e.final() {
+func (m *Machine) join(nowNanos int64, e *entry, deadline int64) {
+	if e.settled() {
 		m.emit(Answer{Key: e.key(), Outcome: e.outcome})
 		return
 	}
-	if e.state == stateGranted && m.shortcuts.runGranted {
+	if e.state == stateGranted && m.mutations.runAfterGrant {
 		m.dispatch(e)
 	}
-	e.wait(at, deadline, m.limits)
+	e.addCaller(nowNanos, deadline, m.limits)
 	e.backoff = 0
-	m.resend(at, e)
+	m.resend(nowNanos, e)
 }
 
 // Abandon says that no caller waits for the key any more. A home that has not been granted
 // the key seals it.
 func (m *Machine) Abandon(now time.Time, key Key) []Effect {
-	at := m.clock.at(now)
+	nowNanos := m.clock.nanos(now)
 	e := m.table.find(key)
 	if e == nil {
 		return nil
 	}
 	e.waiting = false
 	if e.state == stateClaiming {
-		m.seal(at, e)
+		m.seal(nowNanos, e)
 	}
 	m.schedule(e)
-	return m.take()
+	return m.takeEffects()
 }
 
 // Finish says what became of a Dispatch. ResultNotRun says that no byte left or that the
 // upstream refused the request before starting it; it seals the key. Any Result but
 // ResultNotRun and ResultAnswered counts as ResultUnknown.
 func (m *Machine) Finish(now time.Time, key Key, o Outcome) []Effect {
-	at := m.clock.at(now)
+	nowNanos := m.clock.nanos(now)
 	e := m.table.find(key)
 	if e == nil || e.state != stateRunning {
 		return nil
@@ -145,53 +145,53 @@
 		o.Result = ResultUnknown
 	}
 	m.settle(e, o)
-	e.known = e.peer().IsZero()
-	m.resend(at, e)
-	return m.take()
+	e.peerHasOutcome = e.peer().IsZero()
+	m.resend(nowNanos, e)
+	return m.takeEffects()
 }
 
 // Tick resends what is due, answers callers whose deadline has passed and drops expired tickets.
 func (m *Machine) Tick(now time.Time) []Effect {
-	at := m.clock.at(now)
+	nowNanos := m.clock.nanos(now)
 	for {
 		e, ok := m.timers.first()
-		if !ok || e.due > at {
+		if !ok || e.due > nowNanos {
 			break
 		}
-		m.fire(at, e)
+		m.fire(nowNanos, e)
 	}
-	m.expire(at)
-	return m.take()
+	m.expire(nowNanos)
+	return m.takeEffects()
 }
 
-func (m *Machine) fire(at int64, e *entry) {
-	if e.state == stateClaiming && at >= e.giveUp {
-		m.seal(at, e)
+func (m *Machine) fire(nowNanos int64, e *entry) {
+	if e.state == stateClaiming && nowNanos >= e.claimDeadline {
+		m.seal(nowNanos, e)
 	}
-	if e.waiting && at >= e.deadline {
-		m.answer(e, Outcome{Result: ResultUnknown, Reason: e.lateReason()})
+	if e.waiting && nowNanos >= e.deadline {
+		m.answer(e, Outcome{Result: ResultUnknown, Reason: e.timeoutReason()})
 	}
-	if m.pending(e) != 0 && at >= e.resend {
-		m.resend(at, e)
+	if m.pendingMessage(e) != 0 && nowNanos >= e.resendAt {
+		m.resend(nowNanos, e)
 	}
 	m.schedule(e)
 }
 
-func (m *Machine) expire(at int64) {
+func (m *Machine) expire(nowNanos int64) {
 	for {
-		b, ok := m.table.expiry.first()
-		if !ok || b.expires > at {
+		g, ok := m.table.expiry.first()
+		if !ok || g.expires > nowNanos {
 			return
 		}
-		if b.busy() {
-			b.expires = at + int64(expiryRetry)
-			m.table.expiry.set(b)
+		if g.busy() {
+			g.expires = nowNanos + int64(expiryRetryInterval)
+			m.table.expiry.set(g)
 			continue
 		}
-		for e := b.first; e != nil; e = e.next {
+		for e := g.first; e != nil; e = e.next {
 			m.timers.remove(e)
 		}
-		m.table.drop(b)
+		m.table.removeGroup(g)
 	}
 }
 
@@ -203,28 +203,28 @@
 	switch {
 	case e == nil:
 		return Outcome{Result: ResultUnknown, Reason: ReasonUnknownKey}
-	case e.final():
+	case e.settled():
 		return e.outcome
 	default:
-		return Outcome{Result: ResultUnknown, Reason: e.lateReason()}
+		return Outcome{Result: ResultUnknown, Reason: e.timeoutReason()}
 	}
 }
 
 // Stop begins a planned stop: the machine takes and runs no further key, seals what has not
 // been granted, and hands the outcomes that the other instances lack over to them.
 func (m *Machine) Stop(now time.Time) []Effect {
-	at := m.clock.at(now)
+	nowNanos := m.clock.nanos(now)
 	m.stopping = true
 	open := append([]*entry(nil), m.timers.items...)
 	for _, e := range open {
 		e.backoff = 0
 		if e.state == stateClaiming {
-			m.seal(at, e)
+			m.seal(nowNanos, e)
 			continue
 		}
-		m.resend(at, e)
+		m.resend(nowNanos, e)
 	}
-	return m.take()
+	return m.takeEffects()
 }
 
 // Drained reports whether a stopping machine has nothing left to run, settle or hand over.
@@ -249,14 +249,14 @@
 
 // room reports whether a key that is not in the table fits, with reserve added to both bounds
 // as a share of them; a reserve of 0 adds none.
-func (m *Machine) room(key Key, reserve int) bool {
+func (m *Machine) hasRoom(key Key, reserveDivisor int) bool {
 	keys, bytes := m.limits.MaxKeys, m.limits.MaxBytes
-	if reserve > 0 {
-		keys += keys / reserve
-		bytes += bytes / reserve
+	if reserveDivisor > 0 {
+		keys += keys / reserveDivisor
+		bytes += bytes / reserveDivisor
 	}
 	cost := m.table.cost(key)
-	m.table.makeRoom(cost, bytes)
+	m.table.evictAnswers(cost, bytes)
 	return m.Len() < keys && m.table.bytes+cost <= bytes
 }
 
@@ -272,7 +272,7 @@
 }
 
 // take returns the effects gathered since the last call.
-func (m *Machine) take() []Effect {
+func (m *Machine) takeEffects() []Effect {
 	effects := m.effects
 	m.effects = nil
 	return effects
--- a/coord/claim/machine_rapid_test.go
+++ b/coord/claim/machine_rapid_test.go
@@ -9,107 +9,107 @@
 )
 
 // disturb runs a fleet under random events and returns the first broken promise.
-func disturb(t *rapid.T, cut shortcuts) *world {
-	w := newWorld(t, cut)
+func runRandomEvents(t *rapid.T, mutations mutations) *simFleet {
+	f := newSimFleet(t, mutations)
 	for range rapid.IntRange(5, 120).Draw(t, "events") {
-		if w.fault != "" {
+		if f.violation != "" {
 			break
 		}
-		w.event()
+		f.randomEvent()
 	}
-	return w
+	return f
 }
 
-// event makes one random thing happen. Those that end lives are rare.
-func (w *world) event() {
-	n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(w.t, "node")]
-	switch what := rapid.IntRange(0, 99).Draw(w.t, "event"); {
-	case what < 25:
-		w.someSubmit()
-	case what < 60:
-		w.someDelivery()
-	case what < 65:
-		w.somePacketLost()
-	case what < 78:
-		w.tick(time.Duration(rapid.IntRange(1, 600).Draw(w.t, "ms")) * time.Millisecond)
-	case what < 88:
-		w.someFinish()
-	case what < 92:
-		w.someGiveUp()
-	case what < 95:
+// randomEvent makes one random thing happen. Those that end lives are rare.
+func (f *simFleet) randomEvent() {
+	n := f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(f.t, "node")]
+	switch roll := rapid.IntRange(0, 99).Draw(f.t, "event"); {
+	case roll < 25:
+		f.randomSubmit()
+	case roll < 60:
+		f.randomDelivery()
+	case roll < 65:
+		f.randomLoss()
+	case roll < 78:
+		f.tick(time.Duration(rapid.IntRange(1, 600).Draw(f.t, "ms")) * time.Millisecond)
+	case roll < 88:
+		f.randomFinish()
+	case roll < 92:
+		f.randomAbandon()
+	case roll < 95:
 		n.paused = !n.paused
-	case what < 96:
-		n.skew += time.Duration(rapid.IntRange(-30, 30).Draw(w.t, "step")) * time.Second
-	case what < 97:
-		w.stop(n)
-	case what < 98:
-		w.restart(n)
+	case roll < 96:
+		n.skew += time.Duration(rapid.IntRange(-30, 30).Draw(f.t, "step")) * time.Second
+	case roll < 97:
+		f.stop(n)
+	case roll < 98:
+		f.restart(n)
 	default:
-		w.tick(time.Duration(rapid.IntRange(1, 90).Draw(w.t, "s")) * time.Second)
+		f.tick(time.Duration(rapid.IntRange(1, 90).Draw(f.t, "s")) * time.Second)
 	}
 }
 
 // someSubmit lets a caller send its request to the home or the witness, directly or relayed.
-func (w *world) someSubmit() {
-	k := w.keys[rapid.IntRange(0, len(w.keys)-1).Draw(w.t, "key")]
-	role := rapid.SampledFrom([]Role{RoleHome, RoleHome, RoleWitness}).Draw(w.t, "role")
-	c := caller{key: k.key, remaining: time.Duration(rapid.IntRange(0, 4000).Draw(w.t, "deadline")) * time.Millisecond}
-	if rapid.IntRange(0, 19).Draw(w.t, "other request") == 0 {
+func (f *simFleet) randomSubmit() {
+	k := f.keys[rapid.IntRange(0, len(f.keys)-1).Draw(f.t, "key")]
+	role := rapid.SampledFrom([]Role{RoleHome, RoleHome, RoleWitness}).Draw(f.t, "role")
+	c := caller{key: k.key, remaining: time.Duration(rapid.IntRange(0, 4000).Draw(f.t, "deadline")) * time.Millisecond}
+	if rapid.IntRange(0, 19).Draw(f.t, "other request") == 0 {
 		c.fingerprint[0] = 1
 		k.disturbed = true
 	}
-	to := k.ticket.other(3 - role)
-	if rapid.Bool().Draw(w.t, "relayed") {
-		w.packets = append(w.packets, packet{to: to, role: role, caller: c})
+	to := k.ticket.peer(3 - role)
+	if rapid.Bool().Draw(f.t, "relayed") {
+		f.packets = append(f.packets, packet{to: to, role: role, caller: c})
 		return
 	}
-	if n := w.named(to.ID); !n.paused {
-		w.submit(n, role, c)
+	if n := f.nodeByID(to.ID); !n.paused {
+		f.submit(n, role, c)
 	}
 }
 
-func (w *world) someDelivery() {
-	if len(w.packets) == 0 {
+func (f *simFleet) randomDelivery() {
+	if len(f.packets) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.packets)-1).Draw(w.t, "packet")
-	p := w.packets[i]
-	if rapid.IntRange(0, 2).Draw(w.t, "keep") > 0 {
-		w.lose(i)
+	i := rapid.IntRange(0, len(f.packets)-1).Draw(f.t, "packet")
+	p := f.packets[i]
+	if rapid.IntRange(0, 2).Draw(f.t, "keep") > 0 {
+		f.dropPacket(i)
 	}
-	w.deliver(p)
+	f.deliver(p)
 }
 
-func (w *world) somePacketLost() {
-	if len(w.packets) > 0 {
-		w.lose(rapid.IntRange(0, len(w.packets)-1).Draw(w.t, "packet"))
+func (f *simFleet) randomLoss() {
+	if len(f.packets) > 0 {
+		f.dropPacket(rapid.IntRange(0, len(f.packets)-1).Draw(f.t, "packet"))
 	}
 }
 
-func (w *world) lose(i int) {
-	w.packets = append(w.packets[:i:i], w.packets[i+1:]...)
+func (f *simFleet) dropPacket(i int) {
+	f.packets = append(f.packets[:i:i], f.packets[i+1:]...)
 }
 
-func (w *world) someFinish() {
-	for _, n := range w.nodes {
+func (f *simFleet) randomFinish() {
+	for _, n := range f.nodes {
 		if n.paused || len(n.running) == 0 {
 			continue
 		}
-		o := Outcome{Result: Result(rapid.IntRange(1, 3).Draw(w.t, "result"))}
-		if o.Result == ResultAnswered && rapid.Bool().Draw(w.t, "large") {
-			o.Answer = []byte(strings.Repeat("x", w.limits.MaxAnswerBytes))
+		o := Outcome{Result: Result(rapid.IntRange(1, 3).Draw(f.t, "result"))}
+		if o.Result == ResultAnswered && rapid.Bool().Draw(f.t, "large") {
+			o.Answer = []byte(strings.Repeat("x", f.limits.MaxAnswerBytes))
 		}
-		w.finish(n, rapid.IntRange(0, len(n.running)-1).Draw(w.t, "execution"), o)
+		f.finish(n, rapid.IntRange(0, len(n.running)-1).Draw(f.t, "execution"), o)
 		return
 	}
 }
 
-func (w *world) someGiveUp() {
-	for _, n := range w.nodes {
+func (f *simFleet) randomAbandon() {
+	for _, n := range f.nodes {
 		if n.paused || len(n.waiting) == 0 {
 			continue
 		}
-		key := n.waiting[rapid.IntRange(0, len(n.waiting)-1).Draw(w.t, "caller")].key
+		key := n.waiting[rapid.IntRange(0, len(n.waiting)-1).Draw(f.t, "caller")].key
 		var rest []*caller
 		for _, c := range n.waiting {
 			if c.key != key {
@@ -117,101 +117,101 @@
 			}
 		}
 		n.waiting = rest
-		w.apply(n, n.machine.Abandon(n.clock(w), key))
+		f.apply(n, n.machine.Abandon(n.wallClock(f), key))
 		return
 	}
 }
 
-func (w *world) stop(n *node) {
+func (f *simFleet) stop(n *node) {
 	if n.paused {
 		return
 	}
-	for _, k := range w.keys {
+	for _, k := range f.keys {
 		if k.ticket.Home == n.ref || k.ticket.Witness == n.ref {
 			k.disturbed = true
 		}
 	}
-	w.apply(n, n.machine.Stop(n.clock(w)))
+	f.apply(n, n.machine.Stop(n.wallClock(f)))
 }
 
 // heal lets every instance run and every message through, and asks each home once more.
-func (w *world) heal() {
-	for _, n := range w.nodes {
+func (f *simFleet) heal() {
+	for _, n := range f.nodes {
 		n.paused = false
-		behind := n.machine.clock.last - n.clock(w).UnixNano()
+		behind := n.machine.clock.last - n.wallClock(f).UnixNano()
 		n.skew += time.Duration(max(behind, 0))
 	}
-	for _, k := range w.keys {
-		if n := w.node(k.ticket.Home); n != nil {
-			w.submit(n, RoleHome, caller{key: k.key, remaining: 8 * time.Second})
+	for _, k := range f.keys {
+		if n := f.nodeByRef(k.ticket.Home); n != nil {
+			f.submit(n, RoleHome, caller{key: k.key, remaining: 8 * time.Second})
 		}
 	}
 	for range 180 {
-		w.tick(50 * time.Millisecond)
-		for len(w.packets) > 0 {
-			p := w.packets[0]
-			w.packets = w.packets[1:]
-			w.deliver(p)
+		f.tick(50 * time.Millisecond)
+		for len(f.packets) > 0 {
+			p := f.packets[0]
+			f.packets = f.packets[1:]
+			f.deliver(p)
 		}
-		for _, n := range w.nodes {
+		for _, n := range f.nodes {
 			for len(n.running) > 0 {
-				w.finish(n, 0, Outcome{Result: ResultAnswered})
+				f.finish(n, 0, Outcome{Result: ResultAnswered})
 			}
 		}
 	}
 }
 
-func TestPromisesHoldUnderFaults(t *testing.T) {
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := disturb(t, shortcuts{})
-		if w.fault != "" {
-			t.Fatal(w.fault)
+		f := runRandomEvents(t, mutations{})
+		if f.violation != "" {
+			t.Fatal(f.violation)
 		}
 	})
 }
 
 // Once messages flow, a key whose two instances live on has one settled outcome at both, and
 // no caller waits.
-func TestEveryCallerIsAnsweredOnceMessagesFlow(t *testing.T) {
+func TestOutcomesConvergeAfterNetworkHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := disturb(t, shortcuts{})
-		w.heal()
-		if w.fault != "" {
-			t.Fatal(w.fault)
+		f := runRandomEvents(t, mutations{})
+		f.heal()
+		if f.violation != "" {
+			t.Fatal(f.violation)
 		}
-		for _, n := range w.nodes {
+		for _, n := range f.nodes {
 			if len(n.waiting) > 0 {
 				t.Fatalf("%d callers still wait at %s", len(n.waiting), n.ref)
 			}
 		}
-		for _, k := range w.keys {
-			w.checkSettled(k)
+		for _, k := range f.keys {
+			f.checkSettled(k)
 		}
 	})
 }
 
 // checkSettled checks the outcome of an undisturbed key that has not expired anywhere.
-func (w *world) checkSettled(k *keyTruth) {
+func (f *simFleet) checkSettled(k *keyHistory) {
 	margin := 2 * time.Minute
-	if k.disturbed || w.limits.MaxKeys < len(w.keys) || w.now.Add(margin).After(k.ticket.Expires.Add(margin/2)) {
+	if k.disturbed || f.limits.MaxKeys < len(f.keys) || f.now.Add(margin).After(k.ticket.Expires.Add(margin/2)) {
 		return
 	}
-	for _, ref := range []Role{RoleHome, RoleWitness} {
-		n := w.node(k.ticket.other(3 - ref))
-		o := n.machine.Lookup(w.now, k.key)
+	for _, role := range []Role{RoleHome, RoleWitness} {
+		n := f.nodeByRef(k.ticket.peer(3 - role))
+		o := n.machine.Lookup(f.now, k.key)
 		switch {
-		case o.Result == ResultUnknown && !k.unknown:
-			w.t.Fatalf("key %s has no outcome at %s: reason %d", k.key.Unique, n.ref, o.Reason)
+		case o.Result == ResultUnknown && !k.finishedUnknown:
+			f.t.Fatalf("key %s has no outcome at %s: reason %d", k.key.Unique, n.ref, o.Reason)
 		case o.Result == ResultNotRun && k.mayHaveRun:
-			w.t.Fatalf("key %s is not run at %s, ran", k.key.Unique, n.ref)
+			f.t.Fatalf("key %s is not run at %s, ran", k.key.Unique, n.ref)
 		}
 	}
 }
 
-func TestRandomEventsFindEachShortcut(t *testing.T) {
+func TestRandomEventsFindEachMutation(t *testing.T) {
 	const seeds = 3000
 	for _, mutant := range mutants {
-		run := rapid.Custom(func(t *rapid.T) string { return disturb(t, mutant.cut).fault })
+		run := rapid.Custom(func(t *rapid.T) string { return runRandomEvents(t, mutant.mutations).violation })
 		found := 0
 		for seed := 1; seed <= seeds && found == 0; seed++ {
 			if run.Example(seed) != "" {
--- a/coord/claim/machine_test.go
+++ b/coord/claim/machine_test.go
@@ -10,14 +10,14 @@
 
 // pair is a home and a witness with a link that delivers at once, unless cut.
 type pair struct {
-	t        *testing.T
-	now      time.Time
-	machines map[fleet.Ref]*Machine
-	cut      map[fleet.Ref]bool // Nothing arrives there.
-	sent     map[MessageKind]int
-	answers  []Answer
-	refused  []Reason
-	running  []fleet.Ref
+	t            *testing.T
+	now          time.Time
+	machines     map[fleet.Ref]*Machine
+	unreachable  map[fleet.Ref]bool // Nothing arrives there.
+	sent         map[MessageKind]int
+	answers      []Answer
+	refusals     []Reason
+	dispatchedAt []fleet.Ref
 }
 
 func newPair(t *testing.T, limits Limits) *pair {
@@ -28,8 +28,8 @@
 			homeRef:    NewMachine(homeRef, limits),
 			witnessRef: NewMachine(witnessRef, limits),
 		},
-		cut:  make(map[fleet.Ref]bool),
-		sent: make(map[MessageKind]int),
+		unreachable: make(map[fleet.Ref]bool),
+		sent:        make(map[MessageKind]int),
 	}
 }
 
@@ -38,29 +38,29 @@
 		switch effect := effect.(type) {
 		case Send:
 			p.sent[effect.Message.Kind]++
-			if p.cut[effect.To] {
+			if p.unreachable[effect.To] {
 				continue
 			}
 			msg := effect.Message
-			msg.Ticket = oneTicket
+			msg.Ticket = testTicket
 			p.apply(effect.To, p.machines[effect.To].Deliver(p.now, from, msg))
 		case Dispatch:
-			p.running = append(p.running, from)
+			p.dispatchedAt = append(p.dispatchedAt, from)
 		case Answer:
 			p.answers = append(p.answers, effect)
 		case Refusal:
-			p.refused = append(p.refused, effect.Reason)
+			p.refusals = append(p.refusals, effect.Reason)
 		}
 	}
 }
 
 func (p *pair) submit(at fleet.Ref, unique string) {
-	role := p.machines[at].roleIn(oneTicket)
-	p.apply(at, p.machines[at].Submit(p.now, role, submissionOf(p.now, unique)))
+	role := p.machines[at].roleIn(testTicket)
+	p.apply(at, p.machines[at].Submit(p.now, role, newSubmission(p.now, unique)))
 }
 
-func submissionOf(now time.Time, unique string) Submission {
-	return Submission{Key: Key{Ticket: "t", Unique: unique}, Ticket: oneTicket, Deadline: now.Add(2 * time.Second)}
+func newSubmission(now time.Time, unique string) Submission {
+	return Submission{Key: Key{Ticket: "t", Unique: unique}, Ticket: testTicket, Deadline: now.Add(2 * time.Second)}
 }
 
 func (p *pair) finish(at fleet.Ref, unique string, o Outcome) {
@@ -84,10 +84,10 @@
 
 func (p *pair) lastRefusal() Reason {
 	p.t.Helper()
-	if len(p.refused) == 0 {
+	if len(p.refusals) == 0 {
 		p.t.Fatal("no refusal")
 	}
-	return p.refused[len(p.refused)-1]
+	return p.refusals[len(p.refusals)-1]
 }
 
 func TestOrderTakesFourMessages(t *testing.T) {
@@ -108,12 +108,12 @@
 	}
 }
 
-func TestWitnessTellsTheHomesOutcome(t *testing.T) {
+func TestWitnessReturnsOutcomeOfHome(t *testing.T) {
 	p := newPair(t, Limits{})
 	p.submit(homeRef, "u")
-	p.cut[witnessRef] = true
+	p.unreachable[witnessRef] = true
 	p.finish(homeRef, "u", Outcome{Result: ResultAnswered, Answer: []byte("a")})
-	p.cut[witnessRef] = false
+	p.unreachable[witnessRef] = false
 	p.answers = nil
 	p.submit(witnessRef, "u")
 	if o := p.lastAnswer(); o.Result != ResultAnswered || string(o.Answer) != "a" {
@@ -121,9 +121,9 @@
 	}
 }
 
-func TestHomeWithoutWitnessSealsAndDoesNotSayNotRun(t *testing.T) {
+func TestHomeSealsAndReportsUnknownWhenWitnessIsUnreachable(t *testing.T) {
 	p := newPair(t, Limits{})
-	p.cut[witnessRef] = true
+	p.unreachable[witnessRef] = true
 	p.submit(homeRef, "u")
 	for range 60 {
 		p.tick(50 * time.Millisecond)
@@ -131,20 +131,20 @@
 	if o := p.lastAnswer(); o.Result != ResultUnknown || o.Reason != ReasonPeerUnreachable {
 		t.Fatalf("answer %+v", o)
 	}
-	p.cut[witnessRef] = false
+	p.unreachable[witnessRef] = false
 	p.tick(time.Minute)
 	if o := p.machines[homeRef].Lookup(p.now, Key{Ticket: "t", Unique: "u"}); o.Result != ResultNotRun {
 		t.Fatalf("look-up after the link is back: %+v", o)
 	}
-	if len(p.running) != 0 {
-		t.Fatalf("dispatched at %v", p.running)
+	if len(p.dispatchedAt) != 0 {
+		t.Fatalf("dispatched at %v", p.dispatchedAt)
 	}
 }
 
-func TestSingleInstanceRunsAlone(t *testing.T) {
+func TestSingleInstanceRunsWithoutWitness(t *testing.T) {
 	m := NewMachine(homeRef, Limits{})
 	alone := Ticket{Home: homeRef, Expires: testExpiry}
-	s := Submission{Key: oneKey, Ticket: alone, Deadline: testStart.Add(time.Second)}
+	s := Submission{Key: testKey, Ticket: alone, Deadline: testStart.Add(time.Second)}
 	effects := m.Submit(testStart, RoleHome, s)
 	if _, ok := effects[0].(Dispatch); !ok || len(effects) != 1 {
 		t.Fatalf("effects %+v", effects)
@@ -153,8 +153,8 @@
 	if m.Drained() {
 		t.Fatal("idle while it runs a key")
 	}
-	m.Finish(testStart, oneKey, Outcome{Result: ResultNotRun})
-	if o := m.Lookup(testStart, oneKey); o.Result != ResultNotRun {
+	m.Finish(testStart, testKey, Outcome{Result: ResultNotRun})
+	if o := m.Lookup(testStart, testKey); o.Result != ResultNotRun {
 		t.Fatalf("outcome %+v", o)
 	}
 	if !m.Drained() {
@@ -162,11 +162,11 @@
 	}
 }
 
-func TestOtherLivesRefuse(t *testing.T) {
+func TestOtherIncarnationsRefuse(t *testing.T) {
 	for _, self := range []fleet.Ref{{ID: "home", Incarnation: 2}, {ID: "other", Incarnation: 1}} {
 		m := NewMachine(self, Limits{})
 		for _, role := range []Role{RoleNone, RoleHome, RoleWitness} {
-			effects := m.Submit(testStart, role, submissionOf(testStart, "u"))
+			effects := m.Submit(testStart, role, newSubmission(testStart, "u"))
 			if r, ok := effects[0].(Refusal); !ok || r.Reason != ReasonWrongIncarnation {
 				t.Errorf("%s as %d: %+v", self, role, effects)
 			}
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestClockThatGoesBackRunsNoExpiredKey(t *testing.T) {
+func TestBackwardClockRunsNoExpiredKey(t *testing.T) {
 	p := newPair(t, Limits{})
 	p.submit(homeRef, "u")
 	p.finish(homeRef, "u", Outcome{Result: ResultAnswered})
@@ -190,7 +190,7 @@
 }
 
 // A witness whose clock is ahead may refuse a doubled claim that it has granted before.
-func TestRefusalAfterTheGrantChangesNothing(t *testing.T) {
+func TestRefusalAfterGrantIsIgnored(t *testing.T) {
 	p := newPair(t, Limits{})
 	p.submit(homeRef, "u")
 	late := Message{Kind: MessageRefuse, Key: Key{Ticket: "t", Unique: "u"}, Outcome: Outcome{Result: ResultRefused, Reason: ReasonExpired}}
@@ -203,14 +203,14 @@
 
 func TestFullWitnessGrantsNothing(t *testing.T) {
 	p := newPair(t, Limits{MaxKeys: 1})
-	w := p.machines[witnessRef]
-	w.add(Key{Ticket: "t", Unique: "v"}, oneTicket, RoleWitness, Fingerprint{}).state = stateSealed
+	witness := p.machines[witnessRef]
+	witness.add(Key{Ticket: "t", Unique: "v"}, testTicket, RoleWitness, Fingerprint{}).state = stateSealed
 	p.submit(homeRef, "u")
 	for range 60 {
 		p.tick(50 * time.Millisecond)
 	}
-	if len(p.running) != 0 || p.sent[MessageGrant] != 0 || p.sent[MessageSealAck] != 0 {
-		t.Fatalf("dispatched at %v, sent %v", p.running, p.sent)
+	if len(p.dispatchedAt) != 0 || p.sent[MessageGrant] != 0 || p.sent[MessageSealAck] != 0 {
+		t.Fatalf("dispatched at %v, sent %v", p.dispatchedAt, p.sent)
 	}
 	if o := p.lastAnswer(); o.Result != ResultUnknown {
 		t.Fatalf("answer %+v", o)
@@ -223,9 +223,9 @@
 
 func TestFullWitnessConfirmsSeals(t *testing.T) {
 	p := newPair(t, Limits{MaxKeys: 8})
-	w := p.machines[witnessRef]
+	witness := p.machines[witnessRef]
 	for i := range 8 {
-		w.add(Key{Ticket: "t", Unique: string(rune('a' + i))}, oneTicket, RoleWitness, Fingerprint{}).state = stateSealed
+		witness.add(Key{Ticket: "t", Unique: string(rune('a' + i))}, testTicket, RoleWitness, Fingerprint{}).state = stateSealed
 	}
 	p.submit(homeRef, "u")
 	p.apply(homeRef, p.machines[homeRef].Abandon(p.now, Key{Ticket: "t", Unique: "u"}))
@@ -236,36 +236,36 @@
 
 func TestStoppingWitnessGrantsWithoutRoom(t *testing.T) {
 	p := newPair(t, Limits{MaxKeys: 1})
-	w := p.machines[witnessRef]
-	w.add(Key{Ticket: "t", Unique: "v"}, oneTicket, RoleWitness, Fingerprint{}).state = stateSealed
-	p.apply(witnessRef, w.Stop(p.now))
+	witness := p.machines[witnessRef]
+	witness.add(Key{Ticket: "t", Unique: "v"}, testTicket, RoleWitness, Fingerprint{}).state = stateSealed
+	p.apply(witnessRef, witness.Stop(p.now))
 	p.submit(witnessRef, "u")
 	if r := p.lastRefusal(); r != ReasonStopping {
 		t.Fatalf("reason %d", r)
 	}
 	p.submit(homeRef, "u")
-	if len(p.running) != 1 || p.running[0] != homeRef {
-		t.Fatalf("dispatched at %v", p.running)
+	if len(p.dispatchedAt) != 1 || p.dispatchedAt[0] != homeRef {
+		t.Fatalf("dispatched at %v", p.dispatchedAt)
 	}
 }
 
-func TestPlannedStopHandsOver(t *testing.T) {
+func TestPlannedStopHandsOverOutcomes(t *testing.T) {
 	p := newPair(t, Limits{})
 	home := p.machines[homeRef]
-	p.cut[homeRef] = true
+	p.unreachable[homeRef] = true
 	p.submit(homeRef, "claiming")
-	p.cut[homeRef] = false
+	p.unreachable[homeRef] = false
 	p.submit(homeRef, "running")
-	p.cut[witnessRef] = true
+	p.unreachable[witnessRef] = true
 	p.submit(homeRef, "done")
-	p.machines[witnessRef].add(Key{Ticket: "t", Unique: "done"}, oneTicket, RoleWitness, Fingerprint{}).state = stateGranted
+	p.machines[witnessRef].add(Key{Ticket: "t", Unique: "done"}, testTicket, RoleWitness, Fingerprint{}).state = stateGranted
 	p.apply(homeRef, home.Deliver(p.now, witnessRef, Message{Kind: MessageGrant, Key: Key{Ticket: "t", Unique: "done"}}))
 	p.finish(homeRef, "done", Outcome{Result: ResultAnswered})
 	p.apply(homeRef, home.Stop(p.now))
 	if home.Drained() {
 		t.Fatal("idle with three keys to settle")
 	}
-	p.cut[witnessRef] = false
+	p.unreachable[witnessRef] = false
 	p.finish(homeRef, "running", Outcome{Result: ResultAnswered})
 	p.tick(2 * time.Second)
 	if !home.Drained() {
@@ -282,7 +282,7 @@
 	}
 }
 
-func TestLargeAnswerIsNotKept(t *testing.T) {
+func TestOversizeAnswerIsNotStored(t *testing.T) {
 	p := newPair(t, Limits{MaxAnswerBytes: 4})
 	p.submit(homeRef, "u")
 	p.finish(homeRef, "u", Outcome{Result: ResultAnswered, Answer: []byte("large")})
@@ -327,7 +327,7 @@
 }
 
 // The table's estimate of its bytes returns to zero, whatever was in it.
-func TestTableBytesAreGivenBack(t *testing.T) {
+func TestTableBytesReturnToZero(t *testing.T) {
 	p := newPair(t, Limits{MaxBytes: 20_000, MaxAnswerBytes: 100})
 	for i := range 100 {
 		unique := string(rune('a' + i*7%26))
@@ -350,7 +350,7 @@
 func TestResendsBackOff(t *testing.T) {
 	p := newPair(t, Limits{})
 	p.submit(homeRef, "u")
-	p.cut[witnessRef] = true
+	p.unreachable[witnessRef] = true
 	p.finish(homeRef, "u", Outcome{Result: ResultAnswered})
 	for range 50 * 60 * 20 {
 		p.tick(50 * time.Millisecond)
--- a/coord/claim/table.go
+++ b/coord/claim/table.go
@@ -19,88 +19,88 @@
 // Estimated bytes that the table needs besides the texts and answers.
 const (
 	entryOverheadBytes = 224
-	bookOverheadBytes  = 240
+	groupOverheadBytes = 240
 )
 
-// book holds the keys of one ticket; they expire together.
-type book struct {
+// ticketGroup holds the keys of one ticket; they expire together.
+type ticketGroup struct {
 	text    string
 	ticket  Ticket
 	expires int64 // Local time.
 	first   *entry
 	keys    int
-	at      int32
+	index   int32
 }
 
-func (b *book) dueAt() int64  { return b.expires }
-func (b *book) place() *int32 { return &b.at }
+func (g *ticketGroup) dueAt() int64      { return g.expires }
+func (g *ticketGroup) heapIndex() *int32 { return &g.index }
 
 // entry is one key.
 type entry struct {
-	book        *book
-	next        *entry // Of the same book.
-	unique      string
-	outcome     Outcome
-	deadline    int64 // Local time of the last deadline among the callers.
-	giveUp      int64 // Local time at which a home without a grant gives up.
-	resend      int64 // Local time of the next resend.
-	due         int64 // Local time of the next timer.
-	at          int32
-	fingerprint Fingerprint
-	state       state
-	role        Role
-	backoff     uint8
-	waiting     bool // Callers wait here.
-	known       bool // The other instance has the outcome, or needs none.
+	group          *ticketGroup
+	next           *entry // Of the same book.
+	unique         string
+	outcome        Outcome
+	deadline       int64 // Local time of the last deadline among the callers.
+	claimDeadline  int64 // Local time at which a home without a grant gives up.
+	resendAt       int64 // Local time of the next resend.
+	due            int64 // Local time of the next timer.
+	index          int32
+	fingerprint    Fingerprint
+	state          state
+	role           Role
+	backoff        uint8
+	waiting        bool // Callers wait here.
+	peerHasOutcome bool // The other instance has the outcome, or needs none.
 }
 
-func (e *entry) dueAt() int64  { return e.due }
-func (e *entry) place() *int32 { return &e.at }
+func (e *entry) dueAt() int64      { return e.due }
+func (e *entry) heapIndex() *int32 { return &e.index }
 
 func (e *entry) key() Key {
-	return Key{Ticket: e.book.text, Unique: e.unique}
+	return Key{Ticket: e.group.text, Unique: e.unique}
 }
 
 // final reports whether the outcome is settled.
-func (e *entry) final() bool {
+func (e *entry) settled() bool {
 	return e.state == stateSealed || e.state == stateDone
 }
 
 // entryID finds an entry.
 type entryID struct {
-	book   *book
+	group  *ticketGroup
 	unique string
 }
 
 // table holds the entries and counts their bytes.
 type table struct {
-	books   map[string]*book
+	groups  map[string]*ticketGroup
 	entries map[entryID]*entry
-	expiry  queue[*book]
+	expiry  timerQueue[*ticketGroup]
 	bytes   int
 	answers []*entry // Holders of answers, the oldest first; some have lost theirs meanwhile.
 }
 
 func newTable() table {
 	return table{
-		books:   make(map[string]*book),
+		groups:  make(map[string]*ticketGroup),
 		entries: make(map[entryID]*entry),
 	}
 }
 
 func (t *table) find(key Key) *entry {
-	b, ok := t.books[key.Ticket]
+	g, ok := t.groups[key.Ticket]
 	if !ok {
 		return nil
 	}
-	return t.entries[entryID{book: b, unique: key.Unique}]
+	return t.entries[entryID{group: g, unique: key.Unique}]
 }
 
 // cost returns the bytes that a new entry for the key would add.
 func (t *table) cost(key Key) int {
 	cost := entryOverheadBytes + len(key.Unique)
-	if _, ok := t.books[key.Ticket]; !ok {
-		cost += bookOverheadBytes + len(key.Ticket)
+	if _, ok := t.groups[key.Ticket]; !ok {
+		cost += groupOverheadBytes + len(key.Ticket)
 	}
 	return cost
 }
@@ -108,24 +108,24 @@
 // add makes an entry for a key that has none.
 func (t *table) add(key Key, ticket Ticket) *entry {
 	t.bytes += t.cost(key)
-	b, ok := t.books[key.Ticket]
+	g, ok := t.groups[key.Ticket]
 	if !ok {
-		b = &book{text: key.Ticket, ticket: ticket, expires: ticket.Expires.UnixNano(), at: noPlace}
-		t.books[key.Ticket] = b
-		t.expiry.set(b)
+		g = &ticketGroup{text: key.Ticket, ticket: ticket, expires: ticket.Expires.UnixNano(), index: notQueued}
+		t.groups[key.Ticket] = g
+		t.expiry.set(g)
 	}
-	e := &entry{book: b, next: b.first, unique: key.Unique, at: noPlace}
-	b.first = e
-	b.keys++
-	t.entries[entryID{book: b, unique: key.Unique}] = e
+	e := &entry{group: g, next: g.first, unique: key.Unique, index: notQueued}
+	g.first = e
+	g.keys++
+	t.entries[entryID{group: g, unique: key.Unique}] = e
 	return e
 }
 
-// keep stores the outcome of an entry; an answer that does not fit is dropped.
-func (t *table) keep(e *entry, o Outcome, limits Limits) {
+// storeOutcome stores the outcome of an entry; an answer that does not fit is dropped.
+func (t *table) storeOutcome(e *entry, o Outcome, limits Limits) {
 	t.dropAnswer(e)
 	if len(o.Answer) <= limits.MaxAnswerBytes {
-		t.makeRoom(len(o.Answer), limits.MaxBytes)
+		t.evictAnswers(len(o.Answer), limits.MaxBytes)
 	}
 	e.outcome = o
 	t.bytes += len(o.Answer)
@@ -153,15 +153,15 @@
 // makeRoom drops the oldest answers until more bytes fit under the bound. It keeps those
 // that the other instance may not have yet. That a key ran is never dropped before its
 // ticket expires, the answer may be: a full table would refuse new keys.
-func (t *table) makeRoom(more, bound int) {
+func (t *table) evictAnswers(needed, bound int) {
 	for range min(len(t.answers), maxAnswersScanned) {
-		if t.bytes+more <= bound {
+		if t.bytes+needed <= bound {
 			return
 		}
 		e := t.answers[0]
 		t.answers[0] = nil
 		t.answers = t.answers[1:]
-		if e.final() && !e.known {
+		if e.settled() && !e.peerHasOutcome {
 			t.answers = append(t.answers, e)
 			continue
 		}
@@ -169,17 +169,17 @@
 	}
 }
 
-// drop removes a book with all its entries.
-func (t *table) drop(b *book) {
-	for e := b.first; e != nil; e = e.next {
+// removeGroup removes a book with all its entries.
+func (t *table) removeGroup(g *ticketGroup) {
+	for e := g.first; e != nil; e = e.next {
 		t.bytes -= entryOverheadBytes + len(e.unique) + len(e.outcome.Answer)
 		e.outcome.Answer = nil
-		delete(t.entries, entryID{book: b, unique: e.unique})
+		delete(t.entries, entryID{group: g, unique: e.unique})
 	}
 	t.trimAnswers()
-	t.bytes -= bookOverheadBytes + len(b.text)
-	delete(t.books, b.text)
-	t.expiry.remove(b)
+	t.bytes -= groupOverheadBytes + len(g.text)
+	delete(t.groups, g.text)
+	t.expiry.remove(g)
 }
 
 // trimAnswers forgets the oldest holders that have no answer any more.
--- a/coord/claim/steps.go
+++ b/coord/claim/transitions.go
@@ -5,34 +5,34 @@
 
 // wait adds a caller with a deadline. A home without a grant gives up SealTimeout before the
 // deadline, or halfway to it when less is left, and GrantTimeout from now at the latest.
-func (e *entry) wait(at, deadline int64, limits Limits) {
+func (e *entry) addCaller(nowNanos, deadline int64, limits Limits) {
 	if !e.waiting {
-		e.deadline, e.giveUp = 0, 0
+		e.deadline, e.claimDeadline = 0, 0
 	}
 	e.waiting = true
-	giveUp := max(deadline-int64(limits.SealTimeout), at+(deadline-at)/2)
-	giveUp = min(giveUp, at+int64(limits.GrantTimeout))
+	claimDeadline := max(deadline-int64(limits.SealTimeout), nowNanos+(deadline-nowNanos)/2)
+	claimDeadline = min(claimDeadline, nowNanos+int64(limits.GrantTimeout))
 	e.deadline = max(e.deadline, deadline)
-	e.giveUp = max(e.giveUp, giveUp)
+	e.claimDeadline = max(e.claimDeadline, claimDeadline)
 }
 
 // dispatch runs the key here.
 func (m *Machine) dispatch(e *entry) {
 	e.state = stateRunning
 	m.running++
-	m.emit(Dispatch{Key: e.key(), Deadline: m.clock.time(e.deadline)})
+	m.emit(Dispatch{Key: e.key(), Deadline: m.clock.wallTime(e.deadline)})
 	m.schedule(e)
 }
 
 // seal gives the key up at the home and asks the witness to confirm.
-func (m *Machine) seal(at int64, e *entry) {
+func (m *Machine) seal(nowNanos int64, e *entry) {
 	e.state = stateSealing
 	e.backoff = 0
-	e.deadline = min(e.deadline, at+int64(m.limits.SealTimeout))
-	if m.shortcuts.sealAlone {
+	e.deadline = min(e.deadline, nowNanos+int64(m.limits.SealTimeout))
+	if m.mutations.sealWithoutWitness {
 		m.settle(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
 	}
-	m.resend(at, e)
+	m.resend(nowNanos, e)
 }
 
 // settle records the outcome and gives it to the callers that wait.
@@ -43,13 +43,13 @@
 	}
 	e.backoff = 0
 	m.answer(e, o)
-	m.table.keep(e, o, m.limits)
+	m.table.storeOutcome(e, o, m.limits)
 }
 
 // learn records an outcome that the other instance told.
-func (m *Machine) learn(e *entry, o Outcome) {
+func (m *Machine) settleFromPeer(e *entry, o Outcome) {
 	m.settle(e, o)
-	e.known = true
+	e.peerHasOutcome = true
 	m.schedule(e)
 }
 
@@ -63,7 +63,7 @@
 }
 
 // pending returns the kind of message that the entry resends until it is answered, or 0.
-func (m *Machine) pending(e *entry) MessageKind {
+func (m *Machine) pendingMessage(e *entry) MessageKind {
 	switch {
 	case e.state == stateClaiming:
 		return MessageClaim
@@ -73,9 +73,9 @@
 		return MessageClaim
 	case e.state == stateGranted && e.waiting:
 		return MessageGrant
-	case e.final() && !e.known && m.stopping:
+	case e.settled() && !e.peerHasOutcome && m.stopping:
 		return MessageHandOver
-	case e.final() && !e.known:
+	case e.settled() && !e.peerHasOutcome:
 		return MessageOutcome
 	default:
 		return 0
@@ -83,28 +83,28 @@
 }
 
 // resend sends the message that the entry waits on and sets the time of the next.
-func (m *Machine) resend(at int64, e *entry) {
-	if kind := m.pending(e); kind != 0 {
+func (m *Machine) resend(nowNanos int64, e *entry) {
+	if kind := m.pendingMessage(e); kind != 0 {
 		m.send(e, kind)
-		e.resend = at + m.pause(e)
+		e.resendAt = nowNanos + m.resendDelay(e)
 		e.backoff = min(e.backoff+1, maxBackoff)
 	}
 	m.schedule(e)
 }
 
-// pause returns the wait before the next resend. It is bounded only while someone waits.
-func (m *Machine) pause(e *entry) int64 {
-	pause := int64(m.limits.InitialResendDelay) << e.backoff
+// resendDelay returns the wait before the next resend. It is bounded only while someone waits.
+func (m *Machine) resendDelay(e *entry) int64 {
+	delay := int64(m.limits.InitialResendDelay) << e.backoff
 	if e.waiting || m.stopping {
-		pause = min(pause, int64(m.limits.MaxResendDelay))
+		delay = min(delay, int64(m.limits.MaxResendDelay))
 	}
-	return pause
+	return delay
 }
 
 // send sends a message about the entry to the other instance.
 func (m *Machine) send(e *entry, kind MessageKind) {
 	message := Message{Kind: kind, Key: e.key(), Fingerprint: e.fingerprint}
-	if e.final() {
+	if e.settled() {
 		message.Outcome = e.outcome
 	}
 	m.emit(Send{To: e.peer(), Message: message})
@@ -113,19 +113,19 @@
 // schedule sets the entry's timer.
 func (m *Machine) schedule(e *entry) {
 	due := int64(0)
-	sooner := func(t int64) {
+	dueBy := func(t int64) {
 		if due == 0 || t < due {
 			due = t
 		}
 	}
-	if m.pending(e) != 0 {
-		sooner(e.resend)
+	if m.pendingMessage(e) != 0 {
+		dueBy(e.resendAt)
 	}
 	if e.waiting {
-		sooner(e.deadline)
+		dueBy(e.deadline)
 	}
 	if e.state == stateClaiming {
-		sooner(e.giveUp)
+		dueBy(e.claimDeadline)
 	}
 	if due == 0 {
 		m.timers.remove(e)
@@ -137,7 +137,7 @@
 
 // lateReason says why a caller whose deadline has passed got no outcome: ReasonPeerGone when
 // this instance has sealed the key and only the other may have run it.
-func (e *entry) lateReason() Reason {
+func (e *entry) timeoutReason() Reason {
 	if e.state == stateSealing {
 		return ReasonPeerUnreachable
 	}
--- a/coord/claim/witness.go
+++ b/coord/claim/witness.go
@@ -1,9 +1,9 @@
 package claim
 
 // onClaim handles the home's claim at the witness.
-func (m *Machine) onClaim(at int64, e *entry, msg Message) {
+func (m *Machine) onClaim(nowNanos int64, e *entry, msg Message) {
 	if e == nil {
-		m.grantUnseen(at, msg)
+		m.grantNew(nowNanos, msg)
 		return
 	}
 	switch e.state {
@@ -16,12 +16,12 @@
 
 // grantUnseen grants a claim for a key that is not in the table. Without room the claim goes
 // unanswered, but for a stopping instance, which runs no key again and needs no record.
-func (m *Machine) grantUnseen(at int64, msg Message) {
-	if expired(at, msg) {
+func (m *Machine) grantNew(nowNanos int64, msg Message) {
+	if expired(nowNanos, msg) {
 		m.reply(msg, MessageRefuse, Outcome{Result: ResultRefused, Reason: ReasonExpired})
 		return
 	}
-	if m.room(msg.Key, 0) {
+	if m.hasRoom(msg.Key, 0) {
 		e := m.add(msg.Key, msg.Ticket, RoleWitness, msg.Fingerprint)
 		e.state = stateGranted
 		m.send(e, MessageGrant)
@@ -33,14 +33,14 @@
 }
 
 // onSeal handles the home's seal at the witness.
-func (m *Machine) onSeal(at int64, e *entry, msg Message) {
+func (m *Machine) onSeal(nowNanos int64, e *entry, msg Message) {
 	if e == nil {
-		m.sealUnseen(at, msg)
+		m.sealNew(nowNanos, msg)
 		return
 	}
 	switch e.state {
 	case stateGranted:
-		m.learn(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
+		m.settleFromPeer(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
 		m.send(e, MessageSealAck)
 	case stateSealed:
 		m.send(e, MessageSealAck)
@@ -51,14 +51,14 @@
 
 // sealUnseen confirms a seal for a key that is not in the table. Without room the seal goes
 // unanswered, but for a stopping instance.
-func (m *Machine) sealUnseen(at int64, msg Message) {
-	if expired(at, msg) {
+func (m *Machine) sealNew(nowNanos int64, msg Message) {
+	if expired(nowNanos, msg) {
 		m.reply(msg, MessageRefuse, Outcome{Result: ResultRefused, Reason: ReasonExpired})
 		return
 	}
-	if m.room(msg.Key, sealReserveShare) {
+	if m.hasRoom(msg.Key, sealReserveDivisor) {
 		e := m.add(msg.Key, msg.Ticket, RoleWitness, msg.Fingerprint)
-		m.learn(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
+		m.settleFromPeer(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
 		m.send(e, MessageSealAck)
 		return
 	}
