--- a/coord/claim/bench_test.go
+++ b/coord/claim/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// benchTicket names instances with ids of a usual length.
+// benchTicket returns a ticket whose instance IDs have a realistic length.
 func benchTicket(i int) Ticket {
 	return Ticket{
 		Fleet:   "qalqan",
@@ -25,7 +25,8 @@
 	}
 }
 
-// order runs one order through a home and a witness and returns the messages and their bytes.
+// runOrder runs one request through a home and a witness and returns the number of messages
+// and, if encode is set, their encoded bytes.
 func runOrder(b *testing.B, home, witness *Machine, now time.Time, s Submission, encode bool) (messages, size int) {
 	effects := home.Submit(now, RoleHome, s)
 	current := home
@@ -54,10 +55,10 @@
 	return messages, size
 }
 
-// benchAnswer is an answer of the length of a small order confirmation with its headers.
+// benchAnswer has the size of a small order confirmation with its headers.
 var benchAnswer = make([]byte, 300)
 
-// through encodes and decodes a message and returns its bytes.
+// roundTrip encodes and decodes a message and returns its encoded length in bytes.
 func roundTrip(b *testing.B, msg *Message) int {
 	data, err := cbor.Marshal(msg)
 	if err != nil {
@@ -92,10 +93,10 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "orders/s")
 }
 
-// BenchmarkOrder is the decisions of both instances for one order.
+// BenchmarkOrder measures the state machines of both instances for one request.
 func BenchmarkOrder(b *testing.B) { benchmarkOrders(b, false) }
 
-// BenchmarkOrderOnWire adds the encoding and decoding of the messages.
+// BenchmarkOrderOnWire also encodes and decodes the messages.
 func BenchmarkOrderOnWire(b *testing.B) { benchmarkOrders(b, true) }
 
 func BenchmarkSign(b *testing.B) {
@@ -119,7 +120,7 @@
 	}
 }
 
-// BenchmarkTick is a tick over a table whose keys are all settled.
+// BenchmarkTick measures a tick of a machine whose keys are all settled.
 func BenchmarkTick(b *testing.B) {
 	for _, keys := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
@@ -131,7 +132,8 @@
 	}
 }
 
-// filled returns a home and a witness that hold settled keys, so many of each ticket.
+// filledPair returns a home and a witness with the given number of settled keys, perTicket of
+// them for each ticket.
 func filledPair(b *testing.B, keys, perTicket int) (home, witness *Machine) {
 	limits := Limits{MaxKeys: 1 << 30, MaxBytes: 1 << 40}
 	home, witness = NewMachine(benchTicket(0).Home, limits), NewMachine(benchTicket(0).Witness, limits)
@@ -147,8 +149,8 @@
 	return home, witness
 }
 
-// BenchmarkTableBytes reports the heap that one key takes at one instance, answer included,
-// against the table's own estimate.
+// BenchmarkTableBytes reports the heap bytes of one key at one instance, answer included, and
+// the table's estimate of them.
 func BenchmarkTableBytes(b *testing.B) {
 	const keys = 40_000
 	for _, perTicket := range []int{1, 4, 40} {
--- a/coord/claim/clock.go
+++ b/coord/claim/clock.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// clock turns the times that a Machine is handed into local time: nanoseconds since 1970 by
-// the wall clock at the first call, moved on by the monotonic clock. It never goes back, also
-// when the wall clock does.
+// clock converts the times passed to a Machine into local time: nanoseconds since 1970, read
+// from the wall clock at the first call and advanced by the monotonic clock. Local time never
+// goes back, even if the wall clock does.
 type clock struct {
 	start time.Time
 	last  int64
 }
 
-// nanos returns the local time of now.
+// nanos converts now to local time.
 func (c *clock) nanos(now time.Time) int64 {
 	if c.start.IsZero() {
 		c.start = now
@@ -22,7 +22,7 @@
 	return c.last
 }
 
-// wallTime returns the wallTime of a local wallTime.
+// wallTime converts a local time back to a time.Time.
 func (c *clock) wallTime(nanos int64) time.Time {
 	return c.start.Add(time.Duration(nanos - c.start.UnixNano()))
 }
--- a/coord/claim/deliver.go
+++ b/coord/claim/deliver.go
@@ -6,8 +6,8 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Deliver hands over a message from one life of an instance. A message that does not come
-// from the other instance of the key's ticket is dropped.
+// Deliver handles a message from one incarnation of an instance. It drops a message that does
+// not come from the other instance of the key's ticket.
 func (m *Machine) Deliver(now time.Time, from fleet.Ref, msg Message) []Effect {
 	nowNanos := m.clock.nanos(now)
 	e := m.table.find(msg.Key)
@@ -33,7 +33,8 @@
 	return m.takeEffects()
 }
 
-// genuine reports whether the message is one that from may send to this instance.
+// authorized reports whether the sender may send this kind of message for the key to this
+// instance: the sender is the other instance of the ticket, and its role allows the kind.
 func (m *Machine) authorized(from fleet.Ref, msg Message, e *entry) bool {
 	ticket := msg.Ticket
 	if e != nil {
@@ -57,7 +58,8 @@
 	}
 }
 
-// peer returns the instance that plays the peer part.
+// peer returns the other instance of the ticket: the witness for the home, and the home for
+// the witness.
 func (t Ticket) peer(role Role) fleet.Ref {
 	if role == RoleHome {
 		return t.Witness
@@ -65,12 +67,12 @@
 	return t.Home
 }
 
-// peer returns the instance that plays the other part for the entry.
+// peer returns the other instance of the entry's ticket.
 func (e *entry) peer() fleet.Ref {
 	return e.group.ticket.peer(e.role)
 }
 
-// busy reports whether a key of the book runs or has callers waiting.
+// busy reports whether a key of the group is running or has waiting callers.
 func (g *ticketGroup) busy() bool {
 	for e := g.first; e != nil; e = e.next {
 		if e.state == stateRunning || e.waiting {
@@ -80,7 +82,7 @@
 	return false
 }
 
-// reply answers a message whose key is not in the table.
+// reply replies to a message whose key is not in the table.
 func (m *Machine) reply(msg Message, kind MessageKind, o Outcome) {
 	m.emit(Send{
 		To:      msg.Ticket.peer(m.roleIn(msg.Ticket)),
@@ -88,12 +90,12 @@
 	})
 }
 
-// expired reports whether the ticket of a message has expired here.
+// expired reports whether the ticket of a message has expired by the local clock.
 func expired(nowNanos int64, msg Message) bool {
 	return nowNanos >= msg.Ticket.Expires.UnixNano()
 }
 
-// onOutcome records what the other instance says became of the key.
+// onOutcome records the outcome that the other instance sent.
 func (m *Machine) onOutcome(nowNanos int64, e *entry, msg Message) {
 	if e == nil {
 		e = m.recordNew(nowNanos, msg)
@@ -108,8 +110,9 @@
 	m.send(e, MessageOutcomeAck)
 }
 
-// recordUnseen makes an entry for an outcome whose key is not in the table. Without room
-// there is none, and the sender tries again.
+// recordNew adds an entry for an outcome whose key is not in the table. If the table is full
+// it returns nil without acknowledging the outcome, so the sender retries. An outcome of an
+// expired ticket is acknowledged and not recorded.
 func (m *Machine) recordNew(nowNanos int64, msg Message) *entry {
 	if expired(nowNanos, msg) {
 		m.reply(msg, MessageOutcomeAck, Outcome{})
@@ -123,8 +126,8 @@
 	return e
 }
 
-// adopt takes over the fingerprint of the request that the other instance has under the key.
-// Callers of another request are refused: its outcome is not theirs.
+// adoptFingerprint replaces the entry's fingerprint by the one that the other instance has for
+// the key. Waiting callers are refused if it differs, since the outcome belongs to another request.
 func (m *Machine) adoptFingerprint(e *entry, f Fingerprint) {
 	if e.fingerprint == f {
 		return
--- a/coord/claim/exhaustive_test.go
+++ b/coord/claim/exhaustive_test.go
@@ -17,24 +17,24 @@
 	testKey    = Key{Ticket: "t", Unique: "u"}
 )
 
-// The two sides of exhaustive.
+// The two sides of model.
 const (
 	sideHome = iota
 	sideWitness
 )
 
-// exhaustive holds one key's home and witness, and every message that was ever sent. A
-// message may be delivered any number of times, at any time or never, which covers loss,
-// duplication, reordering and unbounded delay. Every order of the events is tried.
+// model is a state of the model check: one key's home and witness, and every message sent so
+// far. A message may be delivered any number of times, at any time or never, which covers loss,
+// duplication, reordering and unbounded delay.
 type model struct {
-	machines          [2]*Machine // Nil once crashed.
+	machines          [2]*Machine // Nil after a crash.
 	expired           [2]bool     // The ticket has expired by the clock of the side.
-	sent              []Send      // Each different message once.
+	sent              []Send      // Each distinct message once.
 	dispatched        [2]int
-	mayHaveRun        bool // A dispatch has not been finished as not run.
+	mayHaveRun        bool // There was a dispatch, and it has not finished as not run.
 	reportedNotRun    bool
-	dispatchedExpired bool    // Dispatched where the ticket had expired.
-	reportedWontRun   [2]bool // The side has told its callers that it will not run the key.
+	dispatchedExpired bool    // Dispatched by a side whose clock is past the expiry.
+	reportedWontRun   [2]bool // The side has reported ReasonPeerUnreachable: it will not run the key.
 }
 
 func newModel(s mutations) *model {
@@ -46,14 +46,14 @@
 	return x
 }
 
-// event is one thing that may happen next.
+// event is one step of the model.
 type event struct {
 	kind string
 	side int
-	sent int // Index of the message of "deliver".
+	sent int // For "deliver", the index of the message in model.sent.
 }
 
-// events lists what may happen next.
+// events returns the events that can happen next.
 func (x *model) events() []event {
 	var events []event
 	for side, m := range x.machines {
@@ -82,7 +82,7 @@
 	return testStart
 }
 
-// step makes one event happen.
+// step applies one event.
 func (x *model) step(ev event) {
 	if ev.kind == "deliver" {
 		x.deliver(x.sent[ev.sent])
@@ -127,7 +127,7 @@
 	}
 }
 
-// record records effects.
+// record records the effects of a side, and what both sides now report.
 func (x *model) record(side int, effects []Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -153,23 +153,23 @@
 	}
 }
 
-// fault names the promise that is broken, or is empty.
+// violation describes the violated guarantee, or is empty.
 func (x *model) violation() string {
 	switch {
 	case x.dispatched[sideHome]+x.dispatched[sideWitness] > 1:
 		return "dispatched twice"
 	case x.reportedWontRun[sideHome] && x.dispatched[sideHome] > 0, x.reportedWontRun[sideWitness] && x.dispatched[sideWitness] > 0:
-		return "dispatched where it was said not to be"
+		return "dispatched by a side that had reported it would not run the key"
 	case x.dispatchedExpired:
 		return "dispatched after the ticket expired"
 	case x.reportedNotRun && x.mayHaveRun:
-		return "said not run of a key that may have run"
+		return "reported not run for a key that may have run"
 	default:
 		return ""
 	}
 }
 
-// sentID tells messages apart.
+// messageID identifies distinct messages.
 type messageID struct {
 	to     fleet.Ref
 	kind   MessageKind
@@ -181,7 +181,7 @@
 	return messageID{s.To, s.Message.Kind, s.Message.Outcome.Result, s.Message.Outcome.Reason}
 }
 
-// sideID is all that later events at one side depend on.
+// sideID is the part of a side's state that later events depend on.
 type sideID struct {
 	crashed, stopping, recorded, waiting, peerHasOutcome, deadlineAfterExpiry bool
 	state                                                                     state
@@ -203,29 +203,29 @@
 	}
 }
 
-// stateID is all that later events depend on.
+// stateID is the part of a model's state that later events depend on.
 type stateID struct {
 	sides                      [2]sideID
 	expired                    [2]bool
-	sent                       uint64 // One bit for each message of seen.
+	sent                       uint64 // One bit for each message, as numbered in explorer.messageBits.
 	dispatched                 [2]int
 	reportedWontRun            [2]bool
 	mayHaveRun, reportedNotRun bool
 	dispatchedExpired          bool
 }
 
-// explorer visits every reachable state, the nearest first.
+// explorer visits every reachable state breadth first.
 type explorer struct {
 	visited       map[stateID]bool
 	messageBits   map[messageID]uint64
 	pendingVisits []visit
 }
 
-// visit is a state to visit, with the event that led to it.
+// visit is a state to visit and the event that led to it.
 type visit struct {
 	x      *model
 	ev     event
-	parent int // Index in explorer.todo.
+	parent int // Index in explorer.pendingVisits.
 }
 
 func (ex *explorer) stateIDOf(x *model) stateID {
@@ -244,7 +244,8 @@
 	return id
 }
 
-// explore returns the number of reachable states, or the events that led to a fault.
+// explore visits all states. It returns the number of states visited and, for the first
+// violation found, its description and the events that led to it.
 func explore(s mutations) (states int, violation string, path []event) {
 	ex := &explorer{visited: make(map[stateID]bool), messageBits: make(map[messageID]uint64)}
 	ex.add(visit{x: newModel(s), parent: -1})
@@ -263,7 +264,7 @@
 	return len(ex.visited), "", nil
 }
 
-// add puts a state on the list unless it was there before.
+// add queues a state unless it was queued before.
 func (ex *explorer) add(v visit) {
 	id := ex.stateIDOf(v.x)
 	if ex.visited[id] {
@@ -293,7 +294,7 @@
 	return &c
 }
 
-// cloneOne copies a machine that holds oneKey or nothing.
+// cloneOneKey copies a machine whose table has testKey or no key.
 func (m *Machine) cloneOneKey() *Machine {
 	c := *m
 	c.table = newTable()
@@ -315,7 +316,7 @@
 	return &c
 }
 
-// mutants are the shortcuts that break the promises.
+// mutants are the mutations that break a guarantee.
 var mutants = []struct {
 	name      string
 	mutations mutations
--- a/coord/claim/home.go
+++ b/coord/claim/home.go
@@ -1,7 +1,7 @@
 package claim
 
-// onAck handles the witness's grant at the home. The witness never runs the key after it, so
-// a home that has sealed the key may say so at once.
+// onGrant handles the witness's grant at the home. The witness never runs the key after it, so
+// a home that is sealing the key may report ResultNotRun at once.
 func (m *Machine) onGrant(nowNanos int64, e *entry) {
 	switch e.state {
 	case stateClaiming:
@@ -21,14 +21,14 @@
 	}
 }
 
-// sealGranted seals a key that the witness has granted and tells the witness.
+// sealAfterGrant seals a key that the witness has granted and sends the outcome to the witness.
 func (m *Machine) sealAfterGrant(nowNanos int64, e *entry) {
 	m.settle(e, Outcome{Result: ResultNotRun, Reason: ReasonSealed})
 	m.resend(nowNanos, e)
 }
 
-// onRefuse handles a refusal at the home: the witness ran or runs the key, or has sealed it,
-// or the ticket has expired there.
+// onRefuse handles a refusal at the home: the witness is running, ran or sealed the key, or
+// the ticket has expired there.
 func (m *Machine) onRefuse(e *entry, msg Message) {
 	switch e.state {
 	case stateClaiming, stateSealing, stateDeferred:
--- a/coord/claim/keyring.go
+++ b/coord/claim/keyring.go
@@ -13,44 +13,45 @@
 
 // Errors of Keyring and Ticket.
 var (
-	// ErrMalformed says that the text is not a ticket.
+	// ErrMalformed reports that the text is not a ticket.
 	ErrMalformed = errors.New("ticket malformed")
-	// ErrForged says that the ticket's authentication code is wrong.
+	// ErrForged reports that the ticket's authentication code is wrong.
 	ErrForged = errors.New("ticket forged")
-	// ErrUnknownSigningKey says that the ring does not hold the key that the ticket names: it is
-	// forged, of another fleet, or older than the key's retirement.
+	// ErrUnknownSigningKey reports that the keyring lacks the key ID that the ticket names: the
+	// ticket is forged, of another fleet, or signed with a key that has been removed.
 	ErrUnknownSigningKey = errors.New("ticket signed with an unknown key")
-	// ErrOtherFleet says that the ticket is of another fleet.
+	// ErrOtherFleet reports that the ticket was issued for another fleet.
 	ErrOtherFleet = errors.New("ticket of another fleet")
-	// ErrExpired says that the ticket has expired.
+	// ErrExpired reports that the ticket has expired.
 	ErrExpired = errors.New("ticket expired")
-	// ErrInvalidSigningKey says that a signing key cannot be used.
-	ErrInvalidSigningKey = errors.New("signing key not usable")
+	// ErrInvalidSigningKey reports signing keys from which no keyring can be built.
+	ErrInvalidSigningKey = errors.New("invalid signing key")
 )
 
 // Bounds of signing keys and tickets, in bytes.
 const (
 	MinSecretBytes = 16
-	MaxTicketBytes = 1024 // Of the text.
-	macBytes       = 16   // Of the HMAC-SHA-256, from its start.
+	MaxTicketBytes = 1024 // Of the text, base64url.
+	macBytes       = 16   // Length to which the HMAC-SHA-256 is truncated.
 )
 
-// SigningKey is one secret that all instances of a fleet share.
+// SigningKey is an HMAC secret that all instances of a fleet share.
 type SigningKey struct {
 	ID     uint32
 	Secret []byte // At least MinSecretBytes.
 }
 
-// Keyring signs tickets with its first key and opens those of all its keys. It is immutable
-// and safe for concurrent use.
+// Keyring signs tickets with its first key and opens tickets signed with any of its keys. It
+// is immutable and safe for concurrent use.
 //
-// To rotate without a gap, add the new key last on every instance, then move it to the first
-// place on every instance, and remove the old one after the longest life of a ticket.
+// To rotate keys without rejecting valid tickets, append the new key on every instance, then
+// move it to the front on every instance, and remove the old key after the longest lifetime of
+// a ticket.
 type Keyring struct {
 	keys []SigningKey
 }
 
-// signed is what a ticket's text holds.
+// signedTicket is the content of a ticket's text.
 type signedTicket struct {
 	_      struct{} `cbor:",toarray"`
 	KeyID  uint32
@@ -58,7 +59,7 @@
 	MAC    []byte
 }
 
-// decoding refuses what encoding never writes.
+// ticketDecMode rejects CBOR features that ticketEncMode never writes.
 var ticketDecMode = mustDecMode(cbor.DecOptions{
 	DupMapKey:       cbor.DupMapKeyEnforcedAPF,
 	IndefLength:     cbor.IndefLengthForbidden,
@@ -66,7 +67,7 @@
 	MaxNestedLevels: 4,
 })
 
-// encoding writes the expiry as whole seconds.
+// ticketEncMode writes the expiry as whole seconds.
 var ticketEncMode = mustEncMode(cbor.EncOptions{Time: cbor.TimeUnix})
 
 func mustDecMode(o cbor.DecOptions) cbor.DecMode {
@@ -85,11 +86,11 @@
 	return mode
 }
 
-// NewKeyring returns a ring that signs with the first key. It returns ErrSigningKey when
-// there is none, a secret is too short or an ID is there twice.
+// NewKeyring returns a keyring that signs with the first key. It returns ErrInvalidSigningKey
+// if there is no key, a secret is too short or an ID occurs twice.
 func NewKeyring(keys []SigningKey) (*Keyring, error) {
 	if len(keys) == 0 {
-		return nil, fmt.Errorf("%w: the ring is empty", ErrInvalidSigningKey)
+		return nil, fmt.Errorf("%w: no keys given", ErrInvalidSigningKey)
 	}
 	seen := make(map[uint32]bool, len(keys))
 	ring := &Keyring{keys: make([]SigningKey, 0, len(keys))}
@@ -98,7 +99,7 @@
 			return nil, fmt.Errorf("%w: key %d has %d bytes, needs %d", ErrInvalidSigningKey, key.ID, len(key.Secret), MinSecretBytes)
 		}
 		if seen[key.ID] {
-			return nil, fmt.Errorf("%w: key %d is there twice", ErrInvalidSigningKey, key.ID)
+			return nil, fmt.Errorf("%w: duplicate key ID %d", ErrInvalidSigningKey, key.ID)
 		}
 		seen[key.ID] = true
 		ring.keys = append(ring.keys, SigningKey{ID: key.ID, Secret: append([]byte(nil), key.Secret...)})
@@ -106,8 +107,8 @@
 	return ring, nil
 }
 
-// Sign returns the text of a ticket: base64url without padding. The expiry is cut to whole
-// seconds. It returns ErrMalformed for a ticket without a home, or whose witness is its home.
+// Sign returns the text of a ticket: base64url without padding. The expiry is truncated to
+// whole seconds. It returns ErrMalformed for a ticket without a home, or whose witness is its home.
 func (k *Keyring) Sign(t Ticket) (string, error) {
 	if err := t.validate(); err != nil {
 		return "", err
@@ -129,7 +130,7 @@
 }
 
 // Open decodes and authenticates the text of a ticket. It returns ErrMalformed, ErrForged
-// or ErrUnknownSigningKey. Ticket.CheckAt tells the fleet and the expiry.
+// or ErrUnknownSigningKey. Ticket.CheckAt checks the fleet and the expiry.
 func (k *Keyring) Open(text string) (Ticket, error) {
 	if len(text) > MaxTicketBytes {
 		return Ticket{}, fmt.Errorf("%w: text of %d bytes, bound %d", ErrMalformed, len(text), MaxTicketBytes)
@@ -174,7 +175,8 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// CheckAt returns ErrOtherFleet or ErrExpired, for an instance of a fleet at a time.
+// CheckAt returns ErrOtherFleet if the ticket is not of the named fleet, and ErrExpired if it
+// has expired at now.
 func (t Ticket) CheckAt(fleetName string, now time.Time) error {
 	if t.Fleet != fleetName {
 		return fmt.Errorf("%w: fleet %q, this is %q", ErrOtherFleet, t.Fleet, fleetName)
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// check returns ErrMalformed for a ticket that no instance could honour.
+// validate returns ErrMalformed for a ticket without a home, or whose witness is its home.
 func (t Ticket) validate() error {
 	if t.Home.IsZero() {
 		return fmt.Errorf("%w: no home", ErrMalformed)
--- a/coord/claim/keyring_test.go
+++ b/coord/claim/keyring_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// A ticket with any bit changed is not opened.
+// A ticket with any single bit changed, or cut short, must not be accepted.
 func TestTamperedTicketIsRejected(t *testing.T) {
 	ring := newTestKeyring(t, oldKey)
 	text := mustSign(t, ring, testTicket)
@@ -111,7 +111,8 @@
 	}
 }
 
-// At each step of a rotation every instance opens what every other one signs.
+// During each step of a key rotation some instances have the old keyring and some the new one;
+// each must open the tickets that the others sign.
 func TestKeyRotationHasNoGap(t *testing.T) {
 	steps := [][]SigningKey{{oldKey}, {oldKey, newKey}, {newKey, oldKey}, {newKey}}
 	for i := 1; i < len(steps); i++ {
@@ -139,7 +140,8 @@
 	}
 }
 
-// Text that opens is one that the ring signed: signing its ticket again gives the same text.
+// Text that opens must be text that the keyring signed: signing its ticket again gives the same
+// text.
 func FuzzOpen(f *testing.F) {
 	ring := newTestKeyring(f, oldKey)
 	text := mustSign(f, ring, testTicket)
@@ -159,7 +161,8 @@
 	})
 }
 
-// A message of any content changes nothing that the promises rest on and never panics.
+// A message with any content must neither cause a panic or a second dispatch nor change the
+// state of a running, sealed or done key.
 func FuzzDeliver(f *testing.F) {
 	for kind := MessageClaim; kind <= MessageHandOver; kind++ {
 		for before := range uint8(5) {
--- a/coord/claim/limits.go
+++ b/coord/claim/limits.go
@@ -2,15 +2,22 @@
 
 import "time"
 
-// Limits bounds what a Machine keeps and sets its times.
+// Limits holds the size limits and timeouts of a Machine.
 type Limits struct {
-	MaxKeys            int           // Keys in the table.
-	MaxBytes           int           // Bytes of the table, by its own estimate.
-	MaxAnswerBytes     int           // Largest answer kept for callers that retry.
-	InitialResendDelay time.Duration // Wait before the first resend; it doubles from there.
-	MaxResendDelay     time.Duration // Longest wait between resends while a caller waits.
-	SealTimeout        time.Duration // Time before a deadline at which a home that has no grant gives up; then the wait for the seal's confirmation.
-	GrantTimeout       time.Duration // Longest wait of a home for a grant, so that its caller has time left for another key.
+	MaxKeys        int // Keys in the table.
+	MaxBytes       int // Estimated bytes of the table.
+	MaxAnswerBytes int // Largest answer stored for callers that retry.
+
+	// InitialResendDelay is the delay before the first resend; it doubles with each one.
+	InitialResendDelay time.Duration
+	// MaxResendDelay bounds the delay while a caller waits or the machine is stopping.
+	MaxResendDelay time.Duration
+	// SealTimeout is how long before the caller's deadline a home without a grant seals the key,
+	// and then how long its callers wait at most for the witness to confirm the seal.
+	SealTimeout time.Duration
+	// GrantTimeout bounds a home's wait for a grant, so that its caller has time left to try
+	// another key.
+	GrantTimeout time.Duration
 }
 
 // Default limits.
@@ -24,7 +31,8 @@
 	DefaultGrantTimeout       = 600 * time.Millisecond
 )
 
-// sealReserveShare is the part of MaxKeys and MaxBytes, as a divisor, that is kept free for seals.
+// sealReserveDivisor reserves room for seals and outcomes once the table is full for new claims
+// and submissions: they may exceed MaxKeys and MaxBytes by the limit divided by it.
 const sealReserveDivisor = 8
 
 // DefaultLimits returns the limits of an entry instance.
@@ -40,7 +48,7 @@
 	}
 }
 
-// withDefaults replaces each zero by its default.
+// withDefaults replaces each value that is not positive with its default.
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
 	l.MaxKeys = orDefault(l.MaxKeys, d.MaxKeys)
--- a/coord/claim/machine.go
+++ b/coord/claim/machine.go
@@ -6,11 +6,11 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// expiryRetry is the time after which an expired ticket is looked at again while one of its
-// keys still runs or has callers waiting.
+// expiryRetryInterval is how long the removal of an expired ticket is postponed while one of
+// its keys is running or has waiting callers.
 const expiryRetryInterval = time.Second
 
-// Machine is the claim state of one life of an instance.
+// Machine is the claim protocol's state machine for one incarnation of an instance.
 type Machine struct {
 	self      fleet.Ref
 	limits    Limits
@@ -23,17 +23,17 @@
 	mutations mutations
 }
 
-// shortcuts leaves out rules of the protocol. Only tests set it, to show that the invariants
-// that they check catch each.
+// mutations disables rules of the protocol. Only tests set it, to show that their invariant
+// checks detect each broken rule.
 type mutations struct {
 	dispatchWithoutGrant bool // The home dispatches without the witness's grant.
-	dispatchAfterSeal    bool // The home dispatches on a grant that comes after its seal.
-	sealWithoutWitness   bool // The home says ResultNotRun without the witness.
-	runAfterGrant        bool // The witness runs a key that it has granted.
+	dispatchAfterSeal    bool // The home dispatches on a grant that arrives after its seal.
+	sealWithoutWitness   bool // The home reports ResultNotRun without the witness's confirmation.
+	runAfterGrant        bool // The witness runs a key that it has granted to the home.
 }
 
-// NewMachine returns the empty state of one life of an instance. Limits that are zero take
-// their defaults.
+// NewMachine returns the empty state machine of one incarnation of an instance. Limits that
+// are not positive take their defaults.
 func NewMachine(self fleet.Ref, limits Limits) *Machine {
 	return &Machine{
 		self:   self,
@@ -42,8 +42,8 @@
 	}
 }
 
-// Submit hands over a caller's request, in the part that this instance plays for it. The
-// answer is a Refusal among the effects, or an Answer among the effects of this or a later call.
+// Submit handles a caller's request in the given role. It is answered by a Refusal among the
+// returned effects, or by an Answer among the effects of this or a later call.
 func (m *Machine) Submit(now time.Time, role Role, s Submission) []Effect {
 	nowNanos := m.clock.nanos(now)
 	e := m.table.find(s.Key)
@@ -67,7 +67,7 @@
 	return m.takeEffects()
 }
 
-// refusal says why a submission is not taken, or ReasonNone.
+// refusalReason returns why a submission is refused, or ReasonNone.
 func (m *Machine) refusalReason(nowNanos int64, role Role, s Submission, e *entry) Reason {
 	switch {
 	case m.roleIn(s.Ticket) != role || role == RoleNone:
@@ -87,7 +87,7 @@
 	}
 }
 
-// roleIn returns the part of this life in a ticket.
+// roleIn returns the role that a ticket gives to this incarnation.
 func (m *Machine) roleIn(t Ticket) Role {
 	switch m.self {
 	case t.Home:
@@ -99,7 +99,7 @@
 	}
 }
 
-// join adds a caller to a key that is in the table.
+// join adds a caller to an entry that is in the table.
 func (m *Machine) join(nowNanos int64, e *entry, deadline int64) {
 	if e.settled() {
 		m.emit(Answer{Key: e.key(), Outcome: e.outcome})
@@ -113,8 +113,7 @@
 	m.resend(nowNanos, e)
 }
 
-// Abandon says that no caller waits for the key any more. A home that has not been granted
-// the key seals it.
+// Abandon reports that no caller waits for the key any more. A home without a grant seals it.
 func (m *Machine) Abandon(now time.Time, key Key) []Effect {
 	nowNanos := m.clock.nanos(now)
 	e := m.table.find(key)
@@ -129,8 +128,8 @@
 	return m.takeEffects()
 }
 
-// Finish says what became of a Dispatch. ResultNotRun says that no byte left or that the
-// upstream refused the request before starting it; it seals the key. Any Result but
+// Finish reports the outcome of a Dispatch. ResultNotRun means that no byte was sent or that
+// the upstream refused the request before starting it; it seals the key. Any Result other than
 // ResultNotRun and ResultAnswered counts as ResultUnknown.
 func (m *Machine) Finish(now time.Time, key Key, o Outcome) []Effect {
 	nowNanos := m.clock.nanos(now)
@@ -150,7 +149,8 @@
 	return m.takeEffects()
 }
 
-// Tick resends what is due, answers callers whose deadline has passed and drops expired tickets.
+// Tick resends messages that are due, answers callers whose deadline has passed and removes
+// expired tickets.
 func (m *Machine) Tick(now time.Time) []Effect {
 	nowNanos := m.clock.nanos(now)
 	for {
@@ -195,9 +195,10 @@
 	}
 }
 
-// Lookup returns what this instance knows of a key. ReasonUnknownKey says that it has no
-// record, ReasonPending that there is no outcome yet, ReasonPeerGone that this instance has
-// sealed the key and the other has not said whether it ran it.
+// Lookup returns the outcome that this instance has recorded for a key. With ResultUnknown,
+// ReasonUnknownKey means that it has no record, ReasonPending that there is no outcome yet, and
+// ReasonPeerUnreachable that this instance will never run the key and the other has not
+// confirmed whether it ran it.
 func (m *Machine) Lookup(_ time.Time, key Key) Outcome {
 	e := m.table.find(key)
 	switch {
@@ -210,8 +211,8 @@
 	}
 }
 
-// Stop begins a planned stop: the machine takes and runs no further key, seals what has not
-// been granted, and hands the outcomes that the other instances lack over to them.
+// Stop begins a planned stop: the machine accepts no new key, seals the keys that wait for a
+// grant, and hands over to the other instances the outcomes that they lack.
 func (m *Machine) Stop(now time.Time) []Effect {
 	nowNanos := m.clock.nanos(now)
 	m.stopping = true
@@ -237,18 +238,18 @@
 	return len(m.table.entries)
 }
 
-// Bytes returns the bytes of the table, by its own estimate.
+// Bytes returns the estimated bytes of the table.
 func (m *Machine) Bytes() int {
 	return m.table.bytes
 }
 
-// Contains reports whether the table has the key. Deliver needs Message.Ticket when it has not.
+// Contains reports whether the table has the key. If not, Deliver needs Message.Ticket.
 func (m *Machine) Contains(key Key) bool {
 	return m.table.find(key) != nil
 }
 
-// room reports whether a key that is not in the table fits, with reserve added to both bounds
-// as a share of them; a reserve of 0 adds none.
+// hasRoom reports whether a key that is not in the table fits, and evicts old answers if they
+// are in the way. A positive reserveDivisor raises each limit by the limit divided by it.
 func (m *Machine) hasRoom(key Key, reserveDivisor int) bool {
 	keys, bytes := m.limits.MaxKeys, m.limits.MaxBytes
 	if reserveDivisor > 0 {
@@ -271,7 +272,7 @@
 	m.effects = append(m.effects, effect)
 }
 
-// take returns the effects gathered since the last call.
+// takeEffects returns the effects emitted since the last call.
 func (m *Machine) takeEffects() []Effect {
 	effects := m.effects
 	m.effects = nil
--- a/coord/claim/machine_rapid_test.go
+++ b/coord/claim/machine_rapid_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// disturb runs a fleet under random events and returns the first broken promise.
+// runRandomEvents runs a fleet under random events until one violates a guarantee. The fleet
+// that it returns has the violation, if any.
 func runRandomEvents(t *rapid.T, mutations mutations) *simFleet {
 	f := newSimFleet(t, mutations)
 	for range rapid.IntRange(5, 120).Draw(t, "events") {
@@ -20,7 +21,8 @@
 	return f
 }
 
-// randomEvent makes one random thing happen. Those that end lives are rare.
+// randomEvent applies one random event. Restarts and stops are rare, since they end an
+// incarnation.
 func (f *simFleet) randomEvent() {
 	n := f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(f.t, "node")]
 	switch roll := rapid.IntRange(0, 99).Draw(f.t, "event"); {
@@ -49,7 +51,7 @@
 	}
 }
 
-// someSubmit lets a caller send its request to the home or the witness, directly or relayed.
+// randomSubmit submits a caller's request to the home or the witness, directly or relayed.
 func (f *simFleet) randomSubmit() {
 	k := f.keys[rapid.IntRange(0, len(f.keys)-1).Draw(f.t, "key")]
 	role := rapid.SampledFrom([]Role{RoleHome, RoleHome, RoleWitness}).Draw(f.t, "role")
@@ -134,7 +136,7 @@
 	f.apply(n, n.machine.Stop(n.wallClock(f)))
 }
 
-// heal lets every instance run and every message through, and asks each home once more.
+// heal resumes every instance, submits each key to its home once more and delivers all messages.
 func (f *simFleet) heal() {
 	for _, n := range f.nodes {
 		n.paused = false
@@ -170,8 +172,8 @@
 	})
 }
 
-// Once messages flow, a key whose two instances live on has one settled outcome at both, and
-// no caller waits.
+// Once messages are delivered again, a key whose two instances still run must have one settled
+// outcome at both, and no caller may still wait.
 func TestOutcomesConvergeAfterNetworkHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := runRandomEvents(t, mutations{})
@@ -190,7 +192,7 @@
 	})
 }
 
-// checkSettled checks the outcome of an undisturbed key that has not expired anywhere.
+// checkSettled checks the outcome of an undisturbed key that has not expired at any instance.
 func (f *simFleet) checkSettled(k *keyHistory) {
 	margin := 2 * time.Minute
 	if k.disturbed || f.limits.MaxKeys < len(f.keys) || f.now.Add(margin).After(k.ticket.Expires.Add(margin/2)) {
@@ -203,7 +205,7 @@
 		case o.Result == ResultUnknown && !k.finishedUnknown:
 			f.t.Fatalf("key %s has no outcome at %s: reason %d", k.key.Unique, n.ref, o.Reason)
 		case o.Result == ResultNotRun && k.mayHaveRun:
-			f.t.Fatalf("key %s is not run at %s, ran", k.key.Unique, n.ref)
+			f.t.Fatalf("key %s is not run at %s, but may have run", k.key.Unique, n.ref)
 		}
 	}
 }
--- a/coord/claim/machine_test.go
+++ b/coord/claim/machine_test.go
@@ -8,12 +8,12 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// pair is a home and a witness with a link that delivers at once, unless cut.
+// pair is a home and a witness. Messages are delivered at once, except to unreachable instances.
 type pair struct {
 	t            *testing.T
 	now          time.Time
 	machines     map[fleet.Ref]*Machine
-	unreachable  map[fleet.Ref]bool // Nothing arrives there.
+	unreachable  map[fleet.Ref]bool // Messages to these are lost.
 	sent         map[MessageKind]int
 	answers      []Answer
 	refusals     []Reason
@@ -151,14 +151,14 @@
 	}
 	m.Stop(testStart)
 	if m.Drained() {
-		t.Fatal("idle while it runs a key")
+		t.Fatal("drained while it runs a key")
 	}
 	m.Finish(testStart, testKey, Outcome{Result: ResultNotRun})
 	if o := m.Lookup(testStart, testKey); o.Result != ResultNotRun {
 		t.Fatalf("outcome %+v", o)
 	}
 	if !m.Drained() {
-		t.Fatal("not idle with nothing to hand over")
+		t.Fatal("not drained with nothing to hand over")
 	}
 }
 
@@ -189,7 +189,8 @@
 	}
 }
 
-// A witness whose clock is ahead may refuse a doubled claim that it has granted before.
+// A witness whose clock is ahead may grant a claim and then refuse a duplicate of it as expired.
+// The refusal must not change the key that the home already runs.
 func TestRefusalAfterGrantIsIgnored(t *testing.T) {
 	p := newPair(t, Limits{})
 	p.submit(homeRef, "u")
@@ -263,13 +264,13 @@
 	p.finish(homeRef, "done", Outcome{Result: ResultAnswered})
 	p.apply(homeRef, home.Stop(p.now))
 	if home.Drained() {
-		t.Fatal("idle with three keys to settle")
+		t.Fatal("drained with three keys to settle")
 	}
 	p.unreachable[witnessRef] = false
 	p.finish(homeRef, "running", Outcome{Result: ResultAnswered})
 	p.tick(2 * time.Second)
 	if !home.Drained() {
-		t.Fatalf("not idle: %d timers", len(home.timers.items))
+		t.Fatalf("not drained: %d timers", len(home.timers.items))
 	}
 	for unique, want := range map[string]Result{"claiming": ResultNotRun, "running": ResultAnswered, "done": ResultAnswered} {
 		if o := p.machines[witnessRef].Lookup(p.now, Key{Ticket: "t", Unique: unique}); o.Result != want {
@@ -295,7 +296,8 @@
 	}
 }
 
-// A table at its bound drops the oldest answers and takes new keys; that a key ran is kept.
+// A table at MaxBytes must evict the oldest answers and accept new keys, and keep the record
+// that the evicted keys ran.
 func TestFullTableDropsOldAnswersBeforeItRefusesKeys(t *testing.T) {
 	const (
 		answer = 1000
@@ -326,7 +328,8 @@
 	}
 }
 
-// The table's estimate of its bytes returns to zero, whatever was in it.
+// The table's byte estimate must return to zero once all keys have expired, whatever their
+// answers were; otherwise it drifts until the table refuses new keys.
 func TestTableBytesReturnToZero(t *testing.T) {
 	p := newPair(t, Limits{MaxBytes: 20_000, MaxAnswerBytes: 100})
 	for i := range 100 {
--- a/coord/claim/simulation_test.go
+++ b/coord/claim/simulation_test.go
@@ -10,8 +10,8 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// world is a small fleet of real machines with a network that loses, doubles, reorders and
-// delays messages. It checks the promises after each effect.
+// simFleet is a small fleet of real machines on a simulated network that loses, duplicates,
+// reorders and delays messages. It checks the guarantees after each effect.
 type simFleet struct {
 	t         *rapid.T
 	now       time.Time
@@ -21,23 +21,23 @@
 	nodes     []*node
 	packets   []packet
 	keys      []*keyHistory
-	violation string // The first broken promise.
+	violation string // The first violated guarantee.
 }
 
-// node is one instance; a restart makes its next life.
+// node is one instance; a restart gives it the next incarnation.
 type node struct {
 	ref     fleet.Ref
 	machine *Machine
 	paused  bool
-	skew    time.Duration // Its wall clock's error.
+	skew    time.Duration // Error of its wall clock.
 	waiting []*caller
 	running []*execution
 }
 
-// packet is a message or a relayed submission on its way.
+// packet is a message or a relayed submission in transit.
 type packet struct {
 	from, to fleet.Ref
-	message  []byte // CBOR of Message, or nil.
+	message  []byte // CBOR of a Message, or nil for a submission.
 	role     Role
 	caller   caller
 }
@@ -46,7 +46,7 @@
 type caller struct {
 	key         Key
 	fingerprint Fingerprint
-	deadline    int64 // Local time of the instance that it waits at.
+	deadline    int64 // Local time of the instance at which it waits.
 	remaining   time.Duration
 }
 
@@ -57,15 +57,15 @@
 	answer      string
 }
 
-// keyTruth is what really happened to a key.
+// keyHistory records what happened to a key in the whole fleet.
 type keyHistory struct {
 	key             Key
 	ticket          Ticket
 	dispatched      int
 	mayHaveRun      bool
 	reportedNotRun  bool
-	disturbed       bool // An instance of it has crashed or stopped, or its callers used two requests.
-	finishedUnknown bool // Its execution was finished as unknown.
+	disturbed       bool // One of its instances has restarted or stopped, or its callers sent different requests.
+	finishedUnknown bool // Its execution finished as unknown.
 }
 
 func newSimFleet(t *rapid.T, mutations mutations) *simFleet {
@@ -93,7 +93,7 @@
 	n.waiting, n.running, n.paused = nil, nil, false
 }
 
-// issue makes a key of a new ticket for the instances that live now.
+// issueKey creates a key with a new ticket for the current incarnations.
 func (f *simFleet) issueKey(i int) {
 	home := f.nodes[i%len(f.nodes)]
 	witness := f.nodes[(i+1)%len(f.nodes)]
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// named returns the life that an instance now has.
+// nodeByID returns the node of an instance, whatever its incarnation.
 func (f *simFleet) nodeByID(id fleet.InstanceID) *node {
 	for _, n := range f.nodes {
 		if n.ref.ID == id {
@@ -144,12 +144,12 @@
 	return nil
 }
 
-// wallClock returns the wall wallClock of a node.
+// wallClock returns the time by the node's wall clock.
 func (n *node) wallClock(f *simFleet) time.Time {
 	return f.now.Add(n.skew)
 }
 
-// submit makes a caller's request arrive at a node.
+// submit submits a caller's request at a node.
 func (f *simFleet) submit(n *node, role Role, c caller) {
 	k := f.history(c.key)
 	now := n.wallClock(f)
@@ -166,7 +166,7 @@
 	f.apply(n, effects)
 }
 
-// apply carries out a node's effects and checks the promises.
+// apply carries out a node's effects and checks the guarantees.
 func (f *simFleet) apply(n *node, effects []Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -197,7 +197,7 @@
 		f.reportViolation("key %s dispatched %d times", d.Key.Unique, k.dispatched)
 	}
 	if k.reportedNotRun {
-		f.reportViolation("key %s dispatched after not run was said", d.Key.Unique)
+		f.reportViolation("key %s dispatched after not run was reported", d.Key.Unique)
 	}
 	x := &execution{key: d.Key, answer: "answer to " + d.Key.Unique}
 	for _, c := range n.waiting {
@@ -212,7 +212,7 @@
 func (f *simFleet) recordNotRun(k *keyHistory) {
 	k.reportedNotRun = true
 	if k.mayHaveRun {
-		f.reportViolation("key %s said not run, may have run", k.key.Unique)
+		f.reportViolation("key %s reported not run, may have run", k.key.Unique)
 	}
 }
 
@@ -238,7 +238,7 @@
 	n.waiting = rest
 }
 
-// finish ends an execution.
+// finish finishes execution i of a node with an outcome.
 func (f *simFleet) finish(n *node, i int, o Outcome) {
 	x := n.running[i]
 	n.running = append(n.running[:i:i], n.running[i+1:]...)
@@ -254,7 +254,7 @@
 	f.apply(n, n.machine.Finish(n.wallClock(f), x.key, o))
 }
 
-// deliver hands the packet over if its target still lives and runs.
+// deliver delivers a packet, unless its target has restarted or is paused.
 func (f *simFleet) deliver(p packet) {
 	n := f.nodeByRef(p.to)
 	if n == nil || n.paused {
@@ -274,7 +274,7 @@
 	f.apply(n, n.machine.Deliver(n.wallClock(f), p.from, msg))
 }
 
-// tick moves the time and checks that no caller waits past its deadline.
+// tick advances the time and checks that no caller waits past its deadline.
 func (f *simFleet) tick(d time.Duration) {
 	f.now = f.now.Add(d)
 	for _, n := range f.nodes {
@@ -290,8 +290,9 @@
 	}
 }
 
-// laterCaller reports whether another caller of the same key has a later deadline: a key's
-// callers are answered together, and the program ends the wait of each by its own deadline.
+// hasLaterCaller reports whether another caller of the same key has a deadline that has not
+// passed. The machine answers a key's callers together; the embedding program enforces each
+// caller's own deadline.
 func (n *node) hasLaterCaller(c *caller) bool {
 	for _, other := range n.waiting {
 		if other.key == c.key && other.deadline > n.machine.clock.last {
@@ -301,7 +302,7 @@
 	return false
 }
 
-// restart ends a node's life and begins its next.
+// restart replaces a node's machine by one of the next incarnation.
 func (f *simFleet) restart(n *node) {
 	for _, k := range f.keys {
 		if k.ticket.Home == n.ref || k.ticket.Witness == n.ref {
--- a/coord/claim/table.go
+++ b/coord/claim/table.go
@@ -1,22 +1,22 @@
 package claim
 
-// maxAnswersScanned bounds the answers that are looked at to make room once.
+// maxAnswersScanned bounds the answers that one call of evictAnswers examines.
 const maxAnswersScanned = 64
 
-// state is how far a key has come at this instance.
+// state is the progress of a key at this instance.
 type state uint8
 
 const (
 	stateClaiming state = iota + 1 // Home: waits for the witness's grant.
-	stateSealing                   // Home: will never run it; waits for the witness to confirm.
-	stateDeferred                  // Home: the witness runs it.
-	stateGranted                   // Witness: the home may run it, this instance never will.
-	stateRunning                   // Either: dispatched by this instance.
-	stateSealed                    // Nobody ran it or will.
-	stateDone                      // It ran, or may have.
+	stateSealing                   // Home: will never run the key; waits for the witness to confirm the seal.
+	stateDeferred                  // Home: the witness is running the key.
+	stateGranted                   // Witness: the home may run the key, this instance never will.
+	stateRunning                   // Home or witness: dispatched by this instance.
+	stateSealed                    // No instance ran the key or will run it.
+	stateDone                      // The key ran, or may have run.
 )
 
-// Estimated bytes that the table needs besides the texts and answers.
+// Estimated bytes of an entry and of a ticketGroup besides their texts and answers.
 const (
 	entryOverheadBytes = 224
 	groupOverheadBytes = 240
@@ -38,20 +38,20 @@
 // entry is one key.
 type entry struct {
 	group          *ticketGroup
-	next           *entry // Of the same book.
+	next           *entry // In the same group.
 	unique         string
 	outcome        Outcome
-	deadline       int64 // Local time of the last deadline among the callers.
-	claimDeadline  int64 // Local time at which a home without a grant gives up.
+	deadline       int64 // Local time of the latest deadline among the callers.
+	claimDeadline  int64 // Local time at which a home without a grant seals the key.
 	resendAt       int64 // Local time of the next resend.
-	due            int64 // Local time of the next timer.
+	due            int64 // Local time at which the entry's timer fires.
 	index          int32
 	fingerprint    Fingerprint
 	state          state
 	role           Role
 	backoff        uint8
-	waiting        bool // Callers wait here.
-	peerHasOutcome bool // The other instance has the outcome, or needs none.
+	waiting        bool // Callers wait for the outcome at this instance.
+	peerHasOutcome bool // Also set if there is no other instance.
 }
 
 func (e *entry) dueAt() int64      { return e.due }
@@ -61,24 +61,24 @@
 	return Key{Ticket: e.group.text, Unique: e.unique}
 }
 
-// final reports whether the outcome is settled.
+// settled reports whether the outcome is final.
 func (e *entry) settled() bool {
 	return e.state == stateSealed || e.state == stateDone
 }
 
-// entryID finds an entry.
+// entryID is the map key of an entry.
 type entryID struct {
 	group  *ticketGroup
 	unique string
 }
 
-// table holds the entries and counts their bytes.
+// table holds the entries and estimates the bytes that they use.
 type table struct {
 	groups  map[string]*ticketGroup
 	entries map[entryID]*entry
 	expiry  timerQueue[*ticketGroup]
 	bytes   int
-	answers []*entry // Holders of answers, the oldest first; some have lost theirs meanwhile.
+	answers []*entry // Entries with stored answers, oldest first; some answers have been dropped since.
 }
 
 func newTable() table {
@@ -96,7 +96,7 @@
 	return t.entries[entryID{group: g, unique: key.Unique}]
 }
 
-// cost returns the bytes that a new entry for the key would add.
+// cost returns the estimated bytes that a new entry for the key would add.
 func (t *table) cost(key Key) int {
 	cost := entryOverheadBytes + len(key.Unique)
 	if _, ok := t.groups[key.Ticket]; !ok {
@@ -105,7 +105,7 @@
 	return cost
 }
 
-// add makes an entry for a key that has none.
+// add adds an entry for a key that has none.
 func (t *table) add(key Key, ticket Ticket) *entry {
 	t.bytes += t.cost(key)
 	g, ok := t.groups[key.Ticket]
@@ -121,7 +121,7 @@
 	return e
 }
 
-// storeOutcome stores the outcome of an entry; an answer that does not fit is dropped.
+// storeOutcome stores the outcome of an entry, without its answer if that does not fit.
 func (t *table) storeOutcome(e *entry, o Outcome, limits Limits) {
 	t.dropAnswer(e)
 	if len(o.Answer) <= limits.MaxAnswerBytes {
@@ -138,7 +138,7 @@
 	}
 }
 
-// dropAnswer forgets the answer of an entry, but not that it ran.
+// dropAnswer removes the answer of an entry, but not the record that it ran.
 func (t *table) dropAnswer(e *entry) {
 	if e.outcome.Answer == nil {
 		return
@@ -150,9 +150,9 @@
 	}
 }
 
-// makeRoom drops the oldest answers until more bytes fit under the bound. It keeps those
-// that the other instance may not have yet. That a key ran is never dropped before its
-// ticket expires, the answer may be: a full table would refuse new keys.
+// evictAnswers drops the oldest answers until the needed bytes fit under the bound. It keeps
+// answers that the other instance may not have yet. The record that a key ran stays until its
+// ticket expires; only the answer may go earlier, since a full table would refuse new keys.
 func (t *table) evictAnswers(needed, bound int) {
 	for range min(len(t.answers), maxAnswersScanned) {
 		if t.bytes+needed <= bound {
@@ -169,7 +169,7 @@
 	}
 }
 
-// removeGroup removes a book with all its entries.
+// removeGroup removes a ticket's group with all its entries.
 func (t *table) removeGroup(g *ticketGroup) {
 	for e := g.first; e != nil; e = e.next {
 		t.bytes -= entryOverheadBytes + len(e.unique) + len(e.outcome.Answer)
@@ -182,7 +182,7 @@
 	t.expiry.remove(g)
 }
 
-// trimAnswers forgets the oldest holders that have no answer any more.
+// trimAnswers removes the entries at the front of the list that have no answer any more.
 func (t *table) trimAnswers() {
 	for len(t.answers) > 0 && t.answers[0].outcome.Answer == nil {
 		t.answers[0] = nil
--- a/coord/claim/timerqueue.go
+++ b/coord/claim/timerqueue.go
@@ -1,20 +1,21 @@
 package claim
 
-// timed is an item of a queue: it knows when it is due and its place in the queue.
+// timed is an item of a timerQueue. dueAt is a local time; heapIndex points to where the item
+// stores its index in the heap.
 type timed interface {
 	dueAt() int64
 	heapIndex() *int32
 }
 
-// noPlace is the place of an item that is in no queue.
+// notQueued is the heap index of an item that is in no queue.
 const notQueued int32 = -1
 
-// queue is a binary heap of items, the earliest due first.
+// timerQueue is a binary heap of items, the earliest due first.
 type timerQueue[T timed] struct {
 	items []T
 }
 
-// first returns the item due first.
+// first returns the item that is due first.
 func (q *timerQueue[T]) first() (item T, ok bool) {
 	if len(q.items) == 0 {
 		return item, false
@@ -22,7 +23,7 @@
 	return q.items[0], true
 }
 
-// set puts an item in, or moves it after its due time has changed.
+// set inserts an item, or moves it after its due time has changed.
 func (q *timerQueue[T]) set(item T) {
 	index := item.heapIndex()
 	if *index == notQueued {
@@ -33,7 +34,7 @@
 	q.down(int(*item.heapIndex()))
 }
 
-// remove takes an item out, if it is in.
+// remove removes an item, if it is queued.
 func (q *timerQueue[T]) remove(item T) {
 	index := *item.heapIndex()
 	if index == notQueued {
--- a/coord/claim/transitions.go
+++ b/coord/claim/transitions.go
@@ -1,10 +1,11 @@
 package claim
 
-// maxBackoff bounds the doublings of the wait between resends.
+// maxBackoff bounds how often the delay between resends doubles.
 const maxBackoff = 24
 
-// wait adds a caller with a deadline. A home without a grant gives up SealTimeout before the
-// deadline, or halfway to it when less is left, and GrantTimeout from now at the latest.
+// addCaller adds a waiting caller with a deadline. A home without a grant seals the key
+// SealTimeout before the deadline, or halfway to it if that is later, but at most GrantTimeout
+// from now.
 func (e *entry) addCaller(nowNanos, deadline int64, limits Limits) {
 	if !e.waiting {
 		e.deadline, e.claimDeadline = 0, 0
@@ -16,7 +17,7 @@
 	e.claimDeadline = max(e.claimDeadline, claimDeadline)
 }
 
-// dispatch runs the key here.
+// dispatch starts the request of a key at this instance.
 func (m *Machine) dispatch(e *entry) {
 	e.state = stateRunning
 	m.running++
@@ -24,7 +25,7 @@
 	m.schedule(e)
 }
 
-// seal gives the key up at the home and asks the witness to confirm.
+// seal makes the home never run the key, and requests the witness's confirmation.
 func (m *Machine) seal(nowNanos int64, e *entry) {
 	e.state = stateSealing
 	e.backoff = 0
@@ -35,7 +36,7 @@
 	m.resend(nowNanos, e)
 }
 
-// settle records the outcome and gives it to the callers that wait.
+// settle records the outcome and answers the waiting callers with it.
 func (m *Machine) settle(e *entry, o Outcome) {
 	e.state = stateDone
 	if o.Result == ResultNotRun {
@@ -46,14 +47,14 @@
 	m.table.storeOutcome(e, o, m.limits)
 }
 
-// learn records an outcome that the other instance told.
+// settleFromPeer records an outcome that the other instance sent or that its message implies.
 func (m *Machine) settleFromPeer(e *entry, o Outcome) {
 	m.settle(e, o)
 	e.peerHasOutcome = true
 	m.schedule(e)
 }
 
-// answer gives the callers that wait for the key an answer.
+// answer answers the callers that wait for the key, if any.
 func (m *Machine) answer(e *entry, o Outcome) {
 	if !e.waiting {
 		return
@@ -62,7 +63,8 @@
 	m.emit(Answer{Key: e.key(), Outcome: o})
 }
 
-// pending returns the kind of message that the entry resends until it is answered, or 0.
+// pendingMessage returns the kind of message that the entry resends until the other instance
+// replies, or 0 if there is none.
 func (m *Machine) pendingMessage(e *entry) MessageKind {
 	switch {
 	case e.state == stateClaiming:
@@ -82,7 +84,7 @@
 	}
 }
 
-// resend sends the message that the entry waits on and sets the time of the next.
+// resend sends the entry's pending message, if any, and sets the time of the next resend.
 func (m *Machine) resend(nowNanos int64, e *entry) {
 	if kind := m.pendingMessage(e); kind != 0 {
 		m.send(e, kind)
@@ -92,7 +94,8 @@
 	m.schedule(e)
 }
 
-// resendDelay returns the wait before the next resend. It is bounded only while someone waits.
+// resendDelay returns the delay before the next resend. MaxResendDelay bounds it only while a
+// caller waits or the machine is stopping.
 func (m *Machine) resendDelay(e *entry) int64 {
 	delay := int64(m.limits.InitialResendDelay) << e.backoff
 	if e.waiting || m.stopping {
@@ -110,7 +113,7 @@
 	m.emit(Send{To: e.peer(), Message: message})
 }
 
-// schedule sets the entry's timer.
+// schedule sets the entry's timer to the next time at which something is due, or removes it.
 func (m *Machine) schedule(e *entry) {
 	due := int64(0)
 	dueBy := func(t int64) {
@@ -135,8 +138,9 @@
 	m.timers.set(e)
 }
 
-// lateReason says why a caller whose deadline has passed got no outcome: ReasonPeerGone when
-// this instance has sealed the key and only the other may have run it.
+// timeoutReason returns why a caller whose deadline has passed got no outcome:
+// ReasonPeerUnreachable if this instance will never run the key and only the other may have run
+// it, else ReasonPending.
 func (e *entry) timeoutReason() Reason {
 	if e.state == stateSealing {
 		return ReasonPeerUnreachable
--- a/coord/claim/witness.go
+++ b/coord/claim/witness.go
@@ -14,8 +14,9 @@
 	}
 }
 
-// grantUnseen grants a claim for a key that is not in the table. Without room the claim goes
-// unanswered, but for a stopping instance, which runs no key again and needs no record.
+// grantNew grants a claim for a key that is not in the table. If the table is full it does not
+// reply, unless the instance is stopping: it will never run a new key, so it can grant without
+// a record.
 func (m *Machine) grantNew(nowNanos int64, msg Message) {
 	if expired(nowNanos, msg) {
 		m.reply(msg, MessageRefuse, Outcome{Result: ResultRefused, Reason: ReasonExpired})
@@ -49,8 +50,9 @@
 	}
 }
 
-// sealUnseen confirms a seal for a key that is not in the table. Without room the seal goes
-// unanswered, but for a stopping instance.
+// sealNew confirms a seal for a key that is not in the table. If the table is full it does not
+// reply, unless the instance is stopping: it will never run a new key, so it can confirm
+// without a record.
 func (m *Machine) sealNew(nowNanos int64, msg Message) {
 	if expired(nowNanos, msg) {
 		m.reply(msg, MessageRefuse, Outcome{Result: ResultRefused, Reason: ReasonExpired})
