--- a/coord/claim/machine_test.go
+++ b/coord/claim/machine_test.go
@@ -90,7 +90,7 @@
 	return p.refusals[len(p.refusals)-1]
 }
 
-func TestOrderTakesFourMessages(t *testing.T) {
+func TestRequestTakesFourMessages(t *testing.T) {
 	p := newPair(t, Limits{})
 	p.submit(homeRef, "u")
 	p.finish(homeRef, "u", Outcome{Result: ResultAnswered, Answer: []byte("a")})
@@ -329,7 +329,7 @@
 }
 
 // The table's byte estimate must return to zero once all keys have expired, whatever their
-// answers were; otherwise it drifts until the table refuses new keys.
+// answers were.
 func TestTableBytesReturnToZero(t *testing.T) {
 	p := newPair(t, Limits{MaxBytes: 20_000, MaxAnswerBytes: 100})
 	for i := range 100 {
