--- a/coord/claim/bench_test.go
+++ b/coord/claim/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// benchTicket names instances with ids of a usual length.
+// benchTicket returns a ticket whose instance IDs have a realistic length.
 func benchTicket(i int) Ticket {
 	return Ticket{
 		Fleet:   "qalqan",
@@ -25,10 +25,11 @@
 	}
 }
 
-// order runs one order through a home and a witness and returns the messages and their bytes.
-func order(b *testing.B, home, witness *Machine, now time.Time, s Submission, encode bool) (messages, size int) {
+// runOrder runs one request through a home and a witness and returns the number of messages
+// and, if encode is set, their encoded bytes.
+func runOrder(b *testing.B, home, witness *Machine, now time.Time, s Submission, encode bool) (messages, size int) {
 	effects := home.Submit(now, RoleHome, s)
-	at := home
+	current := home
 	for len(effects) > 0 {
 		effect := effects[0]
 		effects = effects[1:]
@@ -37,28 +38,28 @@
 			messages++
 			msg := effect.Message
 			if encode {
-				size += through(b, &msg)
+				size += roundTrip(b, &msg)
 			}
 			msg.Ticket = s.Ticket
-			from := at.self
-			at = home
+			from := current.self
+			current = home
 			if effect.To == witness.self {
-				at = witness
+				current = witness
 			}
-			effects = append(effects, at.Deliver(now, from, msg)...)
+			effects = append(effects, current.Deliver(now, from, msg)...)
 		case Dispatch:
 			effects = append(effects, home.Finish(now, s.Key, Outcome{Result: ResultAnswered, Answer: bytes.Clone(benchAnswer)})...)
-			at = home
+			current = home
 		}
 	}
 	return messages, size
 }
 
-// benchAnswer is an answer of the length of a small order confirmation with its headers.
+// benchAnswer has the size of a small order confirmation with its headers.
 var benchAnswer = make([]byte, 300)
 
-// through encodes and decodes a message and returns its bytes.
-func through(b *testing.B, msg *Message) int {
+// roundTrip encodes and decodes a message and returns its encoded length in bytes.
+func roundTrip(b *testing.B, msg *Message) int {
 	data, err := cbor.Marshal(msg)
 	if err != nil {
 		b.Fatal(err)
@@ -73,7 +74,7 @@
 
 func benchmarkOrders(b *testing.B, encode bool) {
 	ticket := benchTicket(0)
-	text := signedBy(b, ringOf(b, oldKey), ticket)
+	text := mustSign(b, newTestKeyring(b, oldKey), ticket)
 	limits := Limits{MaxKeys: 1 << 30, MaxBytes: 1 << 40}
 	home, witness := NewMachine(ticket.Home, limits), NewMachine(ticket.Witness, limits)
 	now := testStart
@@ -81,7 +82,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		s := Submission{Key: Key{Ticket: text, Unique: strconv.Itoa(i)}, Ticket: ticket, Deadline: now.Add(time.Second)}
-		m, n := order(b, home, witness, now, s, encode)
+		m, n := runOrder(b, home, witness, now, s, encode)
 		messages += m
 		size += n
 	}
@@ -92,25 +93,25 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "orders/s")
 }
 
-// BenchmarkOrder is the decisions of both instances for one order.
+// BenchmarkOrder measures the state machines of both instances for one request.
 func BenchmarkOrder(b *testing.B) { benchmarkOrders(b, false) }
 
-// BenchmarkOrderOnWire adds the encoding and decoding of the messages.
+// BenchmarkOrderOnWire also encodes and decodes the messages.
 func BenchmarkOrderOnWire(b *testing.B) { benchmarkOrders(b, true) }
 
 func BenchmarkSign(b *testing.B) {
-	ring, ticket := ringOf(b, oldKey), benchTicket(0)
+	ring, ticket := newTestKeyring(b, oldKey), benchTicket(0)
 	b.ReportAllocs()
 	var text string
 	for b.Loop() {
-		text = signedBy(b, ring, ticket)
+		text = mustSign(b, ring, ticket)
 	}
 	b.ReportMetric(float64(len(text)), "ticket-bytes")
 }
 
 func BenchmarkOpen(b *testing.B) {
-	ring := ringOf(b, oldKey)
-	text := signedBy(b, ring, benchTicket(0))
+	ring := newTestKeyring(b, oldKey)
+	text := mustSign(b, ring, benchTicket(0))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := ring.Open(text); err != nil {
@@ -119,11 +120,11 @@
 	}
 }
 
-// BenchmarkTick is a tick over a table whose keys are all settled.
+// BenchmarkTick measures a tick of a machine whose keys are all settled.
 func BenchmarkTick(b *testing.B) {
 	for _, keys := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
-			home, _ := filled(b, keys, 4)
+			home, _ := filledPair(b, keys, 4)
 			for b.Loop() {
 				home.Tick(testStart)
 			}
@@ -131,32 +132,33 @@
 	}
 }
 
-// filled returns a home and a witness that hold settled keys, so many of each ticket.
-func filled(b *testing.B, keys, perTicket int) (home, witness *Machine) {
+// filledPair returns a home and a witness with the given number of settled keys, perTicket of
+// them for each ticket.
+func filledPair(b *testing.B, keys, perTicket int) (home, witness *Machine) {
 	limits := Limits{MaxKeys: 1 << 30, MaxBytes: 1 << 40}
 	home, witness = NewMachine(benchTicket(0).Home, limits), NewMachine(benchTicket(0).Witness, limits)
-	ring := ringOf(b, oldKey)
+	ring := newTestKeyring(b, oldKey)
 	for i := 0; i < keys; i += perTicket {
 		ticket := benchTicket(i)
-		text := signedBy(b, ring, ticket)
+		text := mustSign(b, ring, ticket)
 		for j := range perTicket {
 			s := Submission{Key: Key{Ticket: text, Unique: fmt.Sprintf("order-%08d-%d", i, j)}, Ticket: ticket, Deadline: testStart.Add(time.Second)}
-			order(b, home, witness, testStart, s, true)
+			runOrder(b, home, witness, testStart, s, true)
 		}
 	}
 	return home, witness
 }
 
-// BenchmarkTableBytes reports the heap that one key takes at one instance, answer included,
-// against the table's own estimate.
+// BenchmarkTableBytes reports the heap bytes of one key at one instance, answer included, and
+// the table's estimate of them.
 func BenchmarkTableBytes(b *testing.B) {
 	const keys = 40_000
 	for _, perTicket := range []int{1, 4, 40} {
 		b.Run(fmt.Sprint(perTicket, "-per-ticket"), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				home, witness := filled(b, keys, perTicket)
-				used := heap() - before
+				before := heapBytes()
+				home, witness := filledPair(b, keys, perTicket)
+				used := heapBytes() - before
 				b.ReportMetric(float64(used)/2/keys, "heap-bytes/key")
 				b.ReportMetric(float64(home.Bytes())/keys, "estimated-bytes/key")
 				runtime.KeepAlive(home)
@@ -166,7 +168,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var s runtime.MemStats
--- a/coord/claim/machine.go
+++ b/coord/claim/machine.go
@@ -6,34 +6,34 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// expiryRetry is the time after which an expired ticket is looked at again while one of its
-// keys still runs or has callers waiting.
-const expiryRetry = time.Second
+// expiryRetryInterval is how long the removal of an expired ticket is postponed while one of
+// its keys is running or has waiting callers.
+const expiryRetryInterval = time.Second
 
-// Machine is the claim state of one life of an instance.
+// Machine is the claim protocol's state machine for one incarnation of an instance.
 type Machine struct {
 	self      fleet.Ref
 	limits    Limits
 	clock     clock
 	table     table
-	timers    queue[*entry]
+	timers    timerQueue[*entry]
 	running   int
 	stopping  bool
 	effects   []Effect
-	shortcuts shortcuts
+	mutations mutations
 }
 
-// shortcuts leaves out rules of the protocol. Only tests set it, to show that the invariants
-// that they check catch each.
-type shortcuts struct {
-	dispatchUngranted bool // The home dispatches without the witness's grant.
-	dispatchSealed    bool // The home dispatches on a grant that comes after its seal.
-	sealAlone         bool // The home says ResultNotRun without the witness.
-	runGranted        bool // The witness runs a key that it has granted.
+// mutations disables rules of the protocol. Only tests set it, to show that their invariant
+// checks detect each broken rule.
+type mutations struct {
+	dispatchWithoutGrant bool // The home dispatches without the witness's grant.
+	dispatchAfterSeal    bool // The home dispatches on a grant that arrives after its seal.
+	sealWithoutWitness   bool // The home reports ResultNotRun without the witness's confirmation.
+	runAfterGrant        bool // The witness runs a key that it has granted to the home.
 }
 
-// NewMachine returns the empty state of one life of an instance. Limits that are zero take
-// their defaults.
+// NewMachine returns the empty state machine of one incarnation of an instance. Limits that
+// are not positive take their defaults.
 func NewMachine(self fleet.Ref, limits Limits) *Machine {
 	return &Machine{
 		self:   self,
@@ -42,52 +42,52 @@
 	}
 }
 
-// Submit hands over a caller's request, in the part that this instance plays for it. The
-// answer is a Refusal among the effects, or an Answer among the effects of this or a later call.
+// Submit handles a caller's request in the given role. It is answered by a Refusal among the
+// returned effects, or by an Answer among the effects of this or a later call.
 func (m *Machine) Submit(now time.Time, role Role, s Submission) []Effect {
-	at := m.clock.at(now)
+	nowNanos := m.clock.nanos(now)
 	e := m.table.find(s.Key)
-	if reason := m.refusal(at, role, s, e); reason != ReasonNone {
+	if reason := m.refusalReason(nowNanos, role, s, e); reason != ReasonNone {
 		m.emit(Refusal{Key: s.Key, Reason: reason})
-		return m.take()
+		return m.takeEffects()
 	}
-	deadline := at + int64(s.Deadline.Sub(now))
+	deadline := nowNanos + int64(s.Deadline.Sub(now))
 	if e != nil {
-		m.join(at, e, deadline)
-		return m.take()
+		m.join(nowNanos, e, deadline)
+		return m.takeEffects()
 	}
 	e = m.add(s.Key, s.Ticket, role, s.Fingerprint)
-	e.wait(at, deadline, m.limits)
-	if role == RoleWitness || s.Ticket.Witness.IsZero() || m.shortcuts.dispatchUngranted {
+	e.addCaller(nowNanos, deadline, m.limits)
+	if role == RoleWitness || s.Ticket.Witness.IsZero() || m.mutations.dispatchWithoutGrant {
 		m.dispatch(e)
-		return m.take()
+		return m.takeEffects()
 	}
 	e.state = stateClaiming
-	m.resend(at, e)
-	return m.take()
+	m.resend(nowNanos, e)
+	return m.takeEffects()
 }
 
-// refusal says why a submission is not taken, or ReasonNone.
-func (m *Machine) refusal(at int64, role Role, s Submission, e *entry) Reason {
+// refusalReason returns why a submission is refused, or ReasonNone.
+func (m *Machine) refusalReason(nowNanos int64, role Role, s Submission, e *entry) Reason {
 	switch {
 	case m.roleIn(s.Ticket) != role || role == RoleNone:
-		return ReasonIncarnation
-	case at >= s.Ticket.Expires.UnixNano():
+		return ReasonWrongIncarnation
+	case nowNanos >= s.Ticket.Expires.UnixNano():
 		return ReasonExpired
 	case e != nil && e.fingerprint != s.Fingerprint:
-		return ReasonMismatch
+		return ReasonFingerprintMismatch
 	case e != nil:
 		return ReasonNone
 	case m.stopping:
 		return ReasonStopping
-	case !m.room(s.Key, 0):
+	case !m.hasRoom(s.Key, 0):
 		return ReasonTableFull
 	default:
 		return ReasonNone
 	}
 }
 
-// roleIn returns the part of this life in a ticket.
+// roleIn returns the role that a ticket gives to this incarnation.
 func (m *Machine) roleIn(t Ticket) Role {
 	switch m.self {
 	case t.Home:
@@ -99,41 +99,40 @@
 	}
 }
 
-// join adds a caller to a key that is in the table.
-func (m *Machine) join(at int64, e *entry, deadline int64) {
-	if e.final() {
+// join adds a caller to an entry that is in the table.
+func (m *Machine) join(nowNanos int64, e *entry, deadline int64) {
+	if e.settled() {
 		m.emit(Answer{Key: e.key(), Outcome: e.outcome})
 		return
 	}
-	if e.state == stateGranted && m.shortcuts.runGranted {
+	if e.state == stateGranted && m.mutations.runAfterGrant {
 		m.dispatch(e)
 	}
-	e.wait(at, deadline, m.limits)
+	e.addCaller(nowNanos, deadline, m.limits)
 	e.backoff = 0
-	m.resend(at, e)
+	m.resend(nowNanos, e)
 }
 
-// GiveUp says that no caller waits for the key any more. A home that has not been granted
-// the key seals it.
-func (m *Machine) GiveUp(now time.Time, key Key) []Effect {
-	at := m.clock.at(now)
+// Abandon reports that no caller waits for the key any more. A home without a grant seals it.
+func (m *Machine) Abandon(now time.Time, key Key) []Effect {
+	nowNanos := m.clock.nanos(now)
 	e := m.table.find(key)
 	if e == nil {
 		return nil
 	}
 	e.waiting = false
 	if e.state == stateClaiming {
-		m.seal(at, e)
+		m.seal(nowNanos, e)
 	}
 	m.schedule(e)
-	return m.take()
+	return m.takeEffects()
 }
 
-// Finish says what became of a Dispatch. ResultNotRun says that no byte left or that the
-// upstream refused the request before starting it; it seals the key. Any Result but
+// Finish reports the outcome of a Dispatch. ResultNotRun means that no byte was sent or that
+// the upstream refused the request before starting it; it seals the key. Any Result other than
 // ResultNotRun and ResultAnswered counts as ResultUnknown.
 func (m *Machine) Finish(now time.Time, key Key, o Outcome) []Effect {
-	at := m.clock.at(now)
+	nowNanos := m.clock.nanos(now)
 	e := m.table.find(key)
 	if e == nil || e.state != stateRunning {
 		return nil
@@ -145,90 +144,92 @@
 		o.Result = ResultUnknown
 	}
 	m.settle(e, o)
-	e.known = e.peer().IsZero()
-	m.resend(at, e)
-	return m.take()
+	e.peerHasOutcome = e.peer().IsZero()
+	m.resend(nowNanos, e)
+	return m.takeEffects()
 }
 
-// Tick resends what is due, answers callers whose deadline has passed and drops expired tickets.
+// Tick resends messages that are due, answers callers whose deadline has passed and removes
+// expired tickets.
 func (m *Machine) Tick(now time.Time) []Effect {
-	at := m.clock.at(now)
+	nowNanos := m.clock.nanos(now)
 	for {
 		e, ok := m.timers.first()
-		if !ok || e.due > at {
+		if !ok || e.due > nowNanos {
 			break
 		}
-		m.fire(at, e)
+		m.fire(nowNanos, e)
 	}
-	m.expire(at)
-	return m.take()
+	m.expire(nowNanos)
+	return m.takeEffects()
 }
 
-func (m *Machine) fire(at int64, e *entry) {
-	if e.state == stateClaiming && at >= e.giveUp {
-		m.seal(at, e)
+func (m *Machine) fire(nowNanos int64, e *entry) {
+	if e.state == stateClaiming && nowNanos >= e.claimDeadline {
+		m.seal(nowNanos, e)
 	}
-	if e.waiting && at >= e.deadline {
-		m.answer(e, Outcome{Result: ResultUnknown, Reason: e.lateReason()})
+	if e.waiting && nowNanos >= e.deadline {
+		m.answer(e, Outcome{Result: ResultUnknown, Reason: e.timeoutReason()})
 	}
-	if m.pending(e) != 0 && at >= e.resend {
-		m.resend(at, e)
+	if m.pendingMessage(e) != 0 && nowNanos >= e.resendAt {
+		m.resend(nowNanos, e)
 	}
 	m.schedule(e)
 }
 
-func (m *Machine) expire(at int64) {
+func (m *Machine) expire(nowNanos int64) {
 	for {
-		b, ok := m.table.expiry.first()
-		if !ok || b.expires > at {
+		g, ok := m.table.expiry.first()
+		if !ok || g.expires > nowNanos {
 			return
 		}
-		if b.busy() {
-			b.expires = at + int64(expiryRetry)
-			m.table.expiry.set(b)
+		if g.busy() {
+			g.expires = nowNanos + int64(expiryRetryInterval)
+			m.table.expiry.set(g)
 			continue
 		}
-		for e := b.first; e != nil; e = e.next {
+		for e := g.first; e != nil; e = e.next {
 			m.timers.remove(e)
 		}
-		m.table.drop(b)
+		m.table.removeGroup(g)
 	}
 }
 
-// Lookup returns what this instance knows of a key. ReasonUnknownKey says that it has no
-// record, ReasonPending that there is no outcome yet, ReasonPeerGone that this instance has
-// sealed the key and the other has not said whether it ran it.
+// Lookup returns the outcome that this instance has recorded for a key. With ResultUnknown,
+// ReasonUnknownKey means that it has no record, ReasonPending that there is no outcome yet, and
+// ReasonPeerUnreachable that this instance will never run the key and the other has not
+// confirmed whether it ran it.
 func (m *Machine) Lookup(_ time.Time, key Key) Outcome {
 	e := m.table.find(key)
 	switch {
 	case e == nil:
 		return Outcome{Result: ResultUnknown, Reason: ReasonUnknownKey}
-	case e.final():
+	case e.settled():
 		return e.outcome
 	default:
-		return Outcome{Result: ResultUnknown, Reason: e.lateReason()}
+		return Outcome{Result: ResultUnknown, Reason: e.timeoutReason()}
 	}
 }
 
-// Stop begins a planned stop: the machine takes and runs no further key, seals what has not
-// been granted, and hands the outcomes that the other instances lack over to them.
+// Stop begins a planned stop: the machine accepts no new key, seals the keys that wait for a
+// grant, and hands over to the other instances the outcomes that they lack.
 func (m *Machine) Stop(now time.Time) []Effect {
-	at := m.clock.at(now)
+	nowNanos := m.clock.nanos(now)
 	m.stopping = true
 	open := append([]*entry(nil), m.timers.items...)
 	for _, e := range open {
 		e.backoff = 0
 		if e.state == stateClaiming {
-			m.seal(at, e)
+			m.seal(nowNanos, e)
 			continue
 		}
-		m.resend(at, e)
+		m.resend(nowNanos, e)
 	}
-	return m.take()
+	return m.takeEffects()
 }
 
-// Idle reports whether a stopping machine has nothing left to run, settle or hand over.
-func (m *Machine) Idle() bool {
+// Drained reports whether a stopping machine has nothing left to run, settle or hand over.
+func (m *Machine) Drained() bool {
 	return m.stopping && m.running == 0 && len(m.timers.items) == 0
 }
 
@@ -237,26 +238,26 @@
 	return len(m.table.entries)
 }
 
-// Bytes returns the bytes of the table, by its own estimate.
+// Bytes returns the estimated bytes of the table.
 func (m *Machine) Bytes() int {
 	return m.table.bytes
 }
 
-// Holds reports whether the table has the key. Deliver needs Message.Ticket when it has not.
-func (m *Machine) Holds(key Key) bool {
+// Contains reports whether the table has the key. If not, Deliver needs Message.Ticket.
+func (m *Machine) Contains(key Key) bool {
 	return m.table.find(key) != nil
 }
 
-// room reports whether a key that is not in the table fits, with reserve added to both bounds
-// as a share of them; a reserve of 0 adds none.
-func (m *Machine) room(key Key, reserve int) bool {
+// hasRoom reports whether a key that is not in the table fits, and evicts old answers if they
+// are in the way. A positive reserveDivisor raises each limit by the limit divided by it.
+func (m *Machine) hasRoom(key Key, reserveDivisor int) bool {
 	keys, bytes := m.limits.MaxKeys, m.limits.MaxBytes
-	if reserve > 0 {
-		keys += keys / reserve
-		bytes += bytes / reserve
+	if reserveDivisor > 0 {
+		keys += keys / reserveDivisor
+		bytes += bytes / reserveDivisor
 	}
 	cost := m.table.cost(key)
-	m.table.makeRoom(cost, bytes)
+	m.table.evictAnswers(cost, bytes)
 	return m.Len() < keys && m.table.bytes+cost <= bytes
 }
 
@@ -271,8 +272,8 @@
 	m.effects = append(m.effects, effect)
 }
 
-// take returns the effects gathered since the last call.
-func (m *Machine) take() []Effect {
+// takeEffects returns the effects emitted since the last call.
+func (m *Machine) takeEffects() []Effect {
 	effects := m.effects
 	m.effects = nil
 	return effects
--- a/coord/claim/table.go
+++ b/coord/claim/table.go
@@ -1,131 +1,131 @@
 package claim
 
-// maxAnswersScanned bounds the answers that are looked at to make room once.
+// maxAnswersScanned bounds the answers that one call of evictAnswers examines.
 const maxAnswersScanned = 64
 
-// state is how far a key has come at this instance.
+// state is the progress of a key at this instance.
 type state uint8
 
 const (
 	stateClaiming state = iota + 1 // Home: waits for the witness's grant.
-	stateSealing                   // Home: will never run it; waits for the witness to confirm.
-	stateDeferred                  // Home: the witness runs it.
-	stateGranted                   // Witness: the home may run it, this instance never will.
-	stateRunning                   // Either: dispatched by this instance.
-	stateSealed                    // Nobody ran it or will.
-	stateDone                      // It ran, or may have.
+	stateSealing                   // Home: will never run the key; waits for the witness to confirm the seal.
+	stateDeferred                  // Home: the witness is running the key.
+	stateGranted                   // Witness: the home may run the key, this instance never will.
+	stateRunning                   // Home or witness: dispatched by this instance.
+	stateSealed                    // No instance ran the key or will run it.
+	stateDone                      // The key ran, or may have run.
 )
 
-// Estimated bytes that the table needs besides the texts and answers.
+// Estimated bytes of an entry and of a ticketGroup besides their texts and answers.
 const (
 	entryOverheadBytes = 224
-	bookOverheadBytes  = 240
+	groupOverheadBytes = 240
 )
 
-// book holds the keys of one ticket; they expire together.
-type book struct {
+// ticketGroup holds the keys of one ticket; they expire together.
+type ticketGroup struct {
 	text    string
 	ticket  Ticket
 	expires int64 // Local time.
 	first   *entry
 	keys    int
-	at      int32
+	index   int32
 }
 
-func (b *book) dueAt() int64  { return b.expires }
-func (b *book) place() *int32 { return &b.at }
+func (g *ticketGroup) dueAt() int64      { return g.expires }
+func (g *ticketGroup) heapIndex() *int32 { return &g.index }
 
 // entry is one key.
 type entry struct {
-	book        *book
-	next        *entry // Of the same book.
-	unique      string
-	outcome     Outcome
-	deadline    int64 // Local time of the last deadline among the callers.
-	giveUp      int64 // Local time at which a home without a grant gives up.
-	resend      int64 // Local time of the next resend.
-	due         int64 // Local time of the next timer.
-	at          int32
-	fingerprint Fingerprint
-	state       state
-	role        Role
-	backoff     uint8
-	waiting     bool // Callers wait here.
-	known       bool // The other instance has the outcome, or needs none.
+	group          *ticketGroup
+	next           *entry // In the same group.
+	unique         string
+	outcome        Outcome
+	deadline       int64 // Local time of the latest deadline among the callers.
+	claimDeadline  int64 // Local time at which a home without a grant seals the key.
+	resendAt       int64 // Local time of the next resend.
+	due            int64 // Local time at which the entry's timer fires.
+	index          int32
+	fingerprint    Fingerprint
+	state          state
+	role           Role
+	backoff        uint8
+	waiting        bool // Callers wait for the outcome at this instance.
+	peerHasOutcome bool // Also set if there is no other instance.
 }
 
-func (e *entry) dueAt() int64  { return e.due }
-func (e *entry) place() *int32 { return &e.at }
+func (e *entry) dueAt() int64      { return e.due }
+func (e *entry) heapIndex() *int32 { return &e.index }
 
 func (e *entry) key() Key {
-	return Key{Ticket: e.book.text, Unique: e.unique}
+	return Key{Ticket: e.group.text, Unique: e.unique}
 }
 
-// final reports whether the outcome is settled.
-func (e *entry) final() bool {
+// settled reports whether the outcome is final.
+func (e *entry) settled() bool {
 	return e.state == stateSealed || e.state == stateDone
 }
 
-// entryID finds an entry.
+// entryID is the map key of an entry.
 type entryID struct {
-	book   *book
+	group  *ticketGroup
 	unique string
 }
 
-// table holds the entries and counts their bytes.
+// table holds the entries and estimates the bytes that they use.
 type table struct {
-	books   map[string]*book
+	groups  map[string]*ticketGroup
 	entries map[entryID]*entry
-	expiry  queue[*book]
+	expiry  timerQueue[*ticketGroup]
 	bytes   int
-	answers []*entry // Holders of answers, the oldest first; some have lost theirs meanwhile.
+	answers []*entry // Entries with stored answers, oldest first; some answers have been dropped since.
 }
 
 func newTable() table {
 	return table{
-		books:   make(map[string]*book),
+		groups:  make(map[string]*ticketGroup),
 		entries: make(map[entryID]*entry),
 	}
 }
 
 func (t *table) find(key Key) *entry {
-	b, ok := t.books[key.Ticket]
+	g, ok := t.groups[key.Ticket]
 	if !ok {
 		return nil
 	}
-	return t.entries[entryID{book: b, unique: key.Unique}]
+	return t.entries[entryID{group: g, unique: key.Unique}]
 }
 
-// cost returns the bytes that a new entry for the key would add.
+// cost returns the estimated bytes that a new entry for the key would add.
 func (t *table) cost(key Key) int {
 	cost := entryOverheadBytes + len(key.Unique)
-	if _, ok := t.books[key.Ticket]; !ok {
-		cost += bookOverheadBytes + len(key.Ticket)
+	if _, ok := t.groups[key.Ticket]; !ok {
+		cost += groupOverheadBytes + len(key.Ticket)
 	}
 	return cost
 }
 
-// add makes an entry for a key that has none.
+// add adds an entry for a key that has none.
 func (t *table) add(key Key, ticket Ticket) *entry {
 	t.bytes += t.cost(key)
-	b, ok := t.books[key.Ticket]
+	g, ok := t.groups[key.Ticket]
 	if !ok {
-		b = &book{text: key.Ticket, ticket: ticket, expires: ticket.Expires.UnixNano(), at: noPlace}
-		t.books[key.Ticket] = b
-		t.expiry.set(b)
+		g = &ticketGroup{text: key.Ticket, ticket: ticket, expires: ticket.Expires.UnixNano(), index: notQueued}
+		t.groups[key.Ticket] = g
+		t.expiry.set(g)
 	}
-	e := &entry{book: b, next: b.first, unique: key.Unique, at: noPlace}
-	b.first = e
-	b.keys++
-	t.entries[entryID{book: b, unique: key.Unique}] = e
+	e := &entry{group: g, next: g.first, unique: key.Unique, index: notQueued}
+	g.first = e
+	g.keys++
+	t.entries[entryID{group: g, unique: key.Unique}] = e
 	return e
 }
 
-// keep stores the outcome of an entry; an answer that does not fit is dropped.
-func (t *table) keep(e *entry, o Outcome, limits Limits) {
+// storeOutcome stores the outcome of an entry, without its answer if that does not fit.
+func (t *table) storeOutcome(e *entry, o Outcome, limits Limits) {
 	t.dropAnswer(e)
 	if len(o.Answer) <= limits.MaxAnswerBytes {
-		t.makeRoom(len(o.Answer), limits.MaxBytes)
+		t.evictAnswers(len(o.Answer), limits.MaxBytes)
 	}
 	e.outcome = o
 	t.bytes += len(o.Answer)
@@ -138,7 +138,7 @@
 	}
 }
 
-// dropAnswer forgets the answer of an entry, but not that it ran.
+// dropAnswer removes the answer of an entry, but not the record that it ran.
 func (t *table) dropAnswer(e *entry) {
 	if e.outcome.Answer == nil {
 		return
@@ -150,18 +150,18 @@
 	}
 }
 
-// makeRoom drops the oldest answers until more bytes fit under the bound. It keeps those
-// that the other instance may not have yet. That a key ran is never dropped before its
-// ticket expires, the answer may be: a full table would refuse new keys.
-func (t *table) makeRoom(more, bound int) {
+// evictAnswers drops the oldest answers until the needed bytes fit under the bound. It keeps
+// answers that the other instance may not have yet. The record that a key ran stays until its
+// ticket expires; only the answer may go earlier, since a full table would refuse new keys.
+func (t *table) evictAnswers(needed, bound int) {
 	for range min(len(t.answers), maxAnswersScanned) {
-		if t.bytes+more <= bound {
+		if t.bytes+needed <= bound {
 			return
 		}
 		e := t.answers[0]
 		t.answers[0] = nil
 		t.answers = t.answers[1:]
-		if e.final() && !e.known {
+		if e.settled() && !e.peerHasOutcome {
 			t.answers = append(t.answers, e)
 			continue
 		}
@@ -169,20 +169,20 @@
 	}
 }
 
-// drop removes a book with all its entries.
-func (t *table) drop(b *book) {
-	for e := b.first; e != nil; e = e.next {
+// removeGroup removes a ticket's group with all its entries.
+func (t *table) removeGroup(g *ticketGroup) {
+	for e := g.first; e != nil; e = e.next {
 		t.bytes -= entryOverheadBytes + len(e.unique) + len(e.outcome.Answer)
 		e.outcome.Answer = nil
-		delete(t.entries, entryID{book: b, unique: e.unique})
+		delete(t.entries, entryID{group: g, unique: e.unique})
 	}
 	t.trimAnswers()
-	t.bytes -= bookOverheadBytes + len(b.text)
-	delete(t.books, b.text)
-	t.expiry.remove(b)
+	t.bytes -= groupOverheadBytes + len(g.text)
+	delete(t.groups, g.text)
+	t.expiry.remove(g)
 }
 
-// trimAnswers forgets the oldest holders that have no answer any more.
+// trimAnswers removes the entries at the front of the list that have no answer any more.
 func (t *table) trimAnswers() {
 	for len(t.answers) > 0 && t.answers[0].outcome.Answer == nil {
 		t.answers[0] = nil
