--- a/coord/placement/bench_test.go
+++ b/coord/placement/bench_test.go
@@ -34,7 +34,7 @@
 				for s := range 270 {
 					name := fleet.Service(fmt.Sprintf("service-%d", s))
 					m.Carriers(name, 12)
-					m.Judge(name)
+					m.Evaluator(name)
 				}
 			}
 		})
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -145,8 +145,8 @@
 	return order
 }
 
-// Judge returns the instance that judges a service's endpoints. It is false without instances.
-func (m *Map) Judge(s fleet.Service) (fleet.Instance, bool) {
+// Evaluator returns the instance that judges a service's endpoints. It is false without instances.
+func (m *Map) Evaluator(s fleet.Service) (fleet.Instance, bool) {
 	if cached, ok := m.judges.Load(s); ok {
 		return cached.(fleet.Instance), true
 	}
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -110,8 +110,8 @@
 	if was[gone.Ref] && zoneStays && added > 1 {
 		t.Fatalf("%s gained %d carriers for one departure", s, added)
 	}
-	wasJudge, _ := before.Judge(s)
-	isJudge, ok := after.Judge(s)
+	wasJudge, _ := before.Evaluator(s)
+	isJudge, ok := after.Evaluator(s)
 	if ok && wasJudge.Ref != gone.Ref && wasJudge.Ref != isJudge.Ref {
 		t.Fatalf("%s: judge moved from %v to %v when %v left", s, wasJudge.Ref, isJudge.Ref, gone.Ref)
 	}
--- a/coord/placement/relief.go
+++ b/coord/placement/relief.go
@@ -11,9 +11,9 @@
 // zoneHeadroom is how far above its carriers' share of the callers a zone may be loaded.
 const zoneHeadroom = 1.08
 
-// WithCallers returns the map with each zone's share of the callers, of which the sum is 1.
+// WithCallerShares returns the map with each zone's share of the callers, of which the sum is 1.
 // Without it every zone is taken to have the same share.
-func (m *Map) WithCallers(shares map[fleet.Zone]float64) *Map {
+func (m *Map) WithCallerShares(shares map[fleet.Zone]float64) *Map {
 	return &Map{nodes: m.nodes, zones: m.zones, callers: maps.Clone(shares)}
 }
 
--- a/coord/placement/spread_test.go
+++ b/coord/placement/spread_test.go
@@ -67,7 +67,7 @@
 			return "z2"
 		}
 	}
-	m := NewMap(instancesIn(44, 3)).WithCallers(shares)
+	m := NewMap(instancesIn(44, 3)).WithCallerShares(shares)
 	for s := range 8 {
 		service := fleet.Service(fmt.Sprintf("service-%d", s))
 		if got := heaviest(m, service, 12, 4000, near); got > maxOverMean {
--- a/coord/routing/api.go
+++ b/coord/routing/api.go
@@ -6,72 +6,72 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Standing is how far an endpoint may be used by this instance.
-type Standing uint8
+// EndpointState determines which requests this instance may send to an endpoint.
+type EndpointState uint8
 
-// Standings of an endpoint.
+// States of an endpoint.
 const (
-	StandingOpen    Standing = iota // Takes any work.
-	StandingAvoided                 // Ejected, or out of reach from this zone: no work.
-	StandingTrial                   // Takes one idempotent, hedged request at a time.
-	StandingCold                    // Starts slowly: its limit grows from one.
-	StandingLeaving                 // Takes no new work.
+	StateAvailable EndpointState = iota // Takes any request.
+	StateExcluded                       // Ejected, or unreachable from this zone: takes no requests.
+	StateTrial                          // Takes one trial request at a time: idempotent, and hedged on another endpoint.
+	StateCold                           // In slow start: its limit grows from one.
+	StateLeaving                        // Takes no new requests; running attempts finish.
 )
 
-// Target is one endpoint as the balancer sees it.
+// Target describes one endpoint to the balancer.
 type Target struct {
 	Upstream fleet.Upstream
-	Standing Standing
-	Limit    int           // This instance's share of the endpoint's slots.
-	LoadHint float64       // Reported load, 0 to 1.
+	State    EndpointState
+	Limit    int           // Attempts that this instance may run at once: its share of the endpoint's slots.
+	LoadHint float64       // Load that the endpoint reported, 0 to 1.
 	LoadAge  time.Duration // Age of LoadHint.
 }
 
-// Request is a caller's request before it has an endpoint.
+// Request is a caller's request to the service.
 type Request struct {
-	ID         uint64 // Unique within the balancer.
+	ID         uint64 // Unique among the requests in the balancer.
 	Account    fleet.Account
 	Idempotent bool
 	Deadline   time.Time
 }
 
-// Effect is something the embedding program must do: Dispatch, CancelAttempt, Deliver or Reject.
+// Effect is an action that the user of the Balancer must carry out: Dispatch, CancelAttempt, Deliver or Reject.
 type Effect interface{ isEffect() }
 
-// Dispatch asks for one attempt to be sent. The program must answer with Balancer.Finish.
+// Dispatch sends one attempt. Its end must be reported with Balancer.Finish.
 type Dispatch struct {
 	ID       uint64
 	Attempt  int // Counts from 1 within the request.
 	Endpoint fleet.Endpoint
 	Deadline time.Time
-	Hedge    bool // Sent beside another attempt that is under way.
-	Trial    bool // On an endpoint with StandingTrial; it is never cancelled before its deadline.
+	Hedge    bool // Sent while another attempt of the request is running.
+	Trial    bool // On an endpoint in StateTrial; not cancelled when another attempt is delivered first.
 }
 
-// CancelAttempt asks for a running attempt to be cancelled; Finish still follows.
+// CancelAttempt cancels a running attempt. Its end must still be reported with Balancer.Finish.
 type CancelAttempt struct {
 	ID      uint64
 	Attempt int
 }
 
-// Deliver passes the answer of one attempt to the caller. It ends the request.
+// Deliver returns the outcome of one attempt to the caller and ends the request.
 type Deliver struct {
 	ID      uint64
 	Attempt int
 }
 
-// RejectReason says why a request got no answer from an upstream.
+// RejectReason is why a request ended without an attempt's outcome.
 type RejectReason uint8
 
 // Reasons for a Reject.
 const (
-	RejectNoEndpoint RejectReason = iota + 1 // The service has no endpoint.
-	RejectQueueFull                          // The queue is at its bound.
-	RejectDeadline                           // It could not meet its deadline in the queue.
-	RejectCancelled                          // The caller went away while it waited.
+	RejectNoEndpoint RejectReason = iota + 1 // No endpoint takes requests.
+	RejectQueueFull                          // The queue was full.
+	RejectDeadline                           // Its deadline passed, or left too little time for an attempt.
+	RejectCancelled                          // The caller disconnected while the request was queued.
 )
 
-// Reject ends a request that has no attempt under way. NotRun is true when no attempt was ever sent.
+// Reject ends a request that has no running attempt. NotRun is true when no attempt was ever sent.
 type Reject struct {
 	ID     uint64
 	Reason RejectReason
@@ -83,15 +83,15 @@
 func (Deliver) isEffect()       {}
 func (Reject) isEffect()        {}
 
-// AttemptResult is how one attempt ended.
+// AttemptResult is the result of one attempt.
 type AttemptResult uint8
 
 // Results of an attempt.
 const (
-	AttemptAnswered  AttemptResult = iota + 1 // A whole answer that is not a server failure.
-	AttemptFailed                             // A whole answer with a server failure (status 500 and up).
-	AttemptNotSent                            // No byte left.
-	AttemptRefused                            // The upstream refused it before starting it.
-	AttemptBroken                             // Sent; no whole answer.
-	AttemptCancelled                          // Cancelled by this side.
+	AttemptSucceeded   AttemptResult = iota + 1 // Complete response that is not a server error.
+	AttemptServerError                          // Complete response with a server error (status 500 and up).
+	AttemptNotSent                              // No byte of the request was sent.
+	AttemptRefused                              // The upstream refused the request before running it.
+	AttemptIncomplete                           // Sent, but no complete response arrived.
+	AttemptCancelled                            // Cancelled by this instance.
 )
--- a/coord/routing/behavior_test.go
+++ b/coord/routing/behavior_test.go
@@ -13,8 +13,8 @@
 
 func at(d time.Duration) time.Time { return testStart.Add(d) }
 
-func target(e fleet.Endpoint, limit int, s Standing) Target {
-	return Target{Upstream: fleet.Upstream{Endpoint: e}, Limit: limit, Standing: s}
+func target(e fleet.Endpoint, limit int, s EndpointState) Target {
+	return Target{Upstream: fleet.Upstream{Endpoint: e}, Limit: limit, State: s}
 }
 
 func newTestBalancer(cfg Config, targets ...Target) *Balancer {
@@ -23,7 +23,7 @@
 	return b
 }
 
-func lookup(id uint64) Request {
+func idempotentRequest(id uint64) Request {
 	return Request{ID: id, Account: "x", Idempotent: true, Deadline: at(10 * time.Second)}
 }
 
@@ -37,7 +37,7 @@
 	return found
 }
 
-func one[E Effect](t *testing.T, effects []Effect) E {
+func onlyEffect[E Effect](t *testing.T, effects []Effect) E {
 	t.Helper()
 	var found []E
 	for _, effect := range effects {
@@ -46,96 +46,96 @@
 		}
 	}
 	if len(found) != 1 {
-		t.Fatalf("effects %v hold %d of the kind wanted, want 1", effects, len(found))
+		t.Fatalf("effects %v hold %d of the wanted type, want 1", effects, len(found))
 	}
 	return found[0]
 }
 
-// warm gives the balancer enough latencies of 10 ms for a quantile.
-func warm(b *Balancer) {
+// addLatencySamples gives the balancer enough latencies of 10 ms for a quantile.
+func addLatencySamples(b *Balancer) {
 	for i := range uint64(latencyMinSamples) {
-		d := dispatches(b.Submit(testStart, lookup(1_000_000+i)))[0]
-		b.Finish(testStart, d.ID, d.Attempt, AttemptAnswered, 10*time.Millisecond)
+		d := dispatches(b.Submit(testStart, idempotentRequest(1_000_000+i)))[0]
+		b.Finish(testStart, d.ID, d.Attempt, AttemptSucceeded, 10*time.Millisecond)
 	}
 }
 
-func TestHedgeStartsAtTheQuantileAndTheLoserIsCancelled(t *testing.T) {
-	b := newTestBalancer(Config{RetryShare: 0.5}, target(endpointA, 4, StandingOpen), target(endpointB, 4, StandingOpen))
-	warm(b)
-	first := one[Dispatch](t, b.Submit(testStart, lookup(1)))
+func TestHedgeStartsAtQuantileAndCancelsSlowerAttempt(t *testing.T) {
+	b := newTestBalancer(Config{RetryShare: 0.5}, target(endpointA, 4, StateAvailable), target(endpointB, 4, StateAvailable))
+	addLatencySamples(b)
+	first := onlyEffect[Dispatch](t, b.Submit(testStart, idempotentRequest(1)))
 	wake, ok := b.NextWake(testStart)
 	if !ok || wake.Before(at(10*time.Millisecond)) || wake.After(at(12*time.Millisecond)) {
 		t.Fatalf("hedge due at %v, want 10 to 12 ms after %v", wake, testStart)
 	}
-	hedge := one[Dispatch](t, b.Tick(wake))
+	hedge := onlyEffect[Dispatch](t, b.Tick(wake))
 	if !hedge.Hedge || hedge.Endpoint == first.Endpoint {
 		t.Fatalf("hedge %+v beside %+v", hedge, first)
 	}
-	effects := b.Finish(wake.Add(time.Millisecond), 1, hedge.Attempt, AttemptAnswered, time.Millisecond)
-	if d := one[Deliver](t, effects); d.Attempt != hedge.Attempt {
+	effects := b.Finish(wake.Add(time.Millisecond), 1, hedge.Attempt, AttemptSucceeded, time.Millisecond)
+	if d := onlyEffect[Deliver](t, effects); d.Attempt != hedge.Attempt {
 		t.Fatalf("delivered %+v", d)
 	}
-	if c := one[CancelAttempt](t, effects); c.Attempt != first.Attempt {
+	if c := onlyEffect[CancelAttempt](t, effects); c.Attempt != first.Attempt {
 		t.Fatalf("cancelled %+v", c)
 	}
 }
 
-func TestNoHedgeForOrdersOrWhileRequestsWait(t *testing.T) {
-	b := newTestBalancer(Config{RetryShare: 0.5}, target(endpointA, 1, StandingOpen), target(endpointB, 1, StandingOpen))
-	warm(b)
-	order := lookup(1)
-	order.Idempotent = false
-	one[Dispatch](t, b.Submit(testStart, order))
+func TestNoHedgeForNonIdempotentOrWhileRequestsWait(t *testing.T) {
+	b := newTestBalancer(Config{RetryShare: 0.5}, target(endpointA, 1, StateAvailable), target(endpointB, 1, StateAvailable))
+	addLatencySamples(b)
+	nonIdempotent := idempotentRequest(1)
+	nonIdempotent.Idempotent = false
+	onlyEffect[Dispatch](t, b.Submit(testStart, nonIdempotent))
 	if got := dispatches(b.Tick(at(time.Second))); len(got) != 0 {
-		t.Fatalf("an order was hedged: %+v", got)
+		t.Fatalf("a non-idempotent request was hedged: %+v", got)
 	}
-	running := one[Dispatch](t, b.Submit(at(time.Second), lookup(2)))
-	b.Submit(at(time.Second), lookup(3))
+	running := onlyEffect[Dispatch](t, b.Submit(at(time.Second), idempotentRequest(2)))
+	b.Submit(at(time.Second), idempotentRequest(3))
 	if got := dispatches(b.Tick(at(2 * time.Second))); len(got) != 0 {
 		t.Fatalf("hedged while requests wait: %+v", got)
 	}
-	if d := one[Dispatch](t, b.Finish(at(2*time.Second), 2, running.Attempt, AttemptAnswered, time.Second)); d.ID != 3 {
-		t.Fatalf("the freed slot went to %+v", d)
+	if d := onlyEffect[Dispatch](t, b.Finish(at(2*time.Second), 2, running.Attempt, AttemptSucceeded, time.Second)); d.ID != 3 {
+		t.Fatalf("the freed slot was used by %+v, want request 3", d)
 	}
 }
 
 func TestTrialIsHedgedAtOnceAndNotCancelled(t *testing.T) {
-	b := newTestBalancer(Config{RetryShare: 0.5}, target(endpointA, 4, StandingOpen), target(endpointB, 4, StandingTrial))
-	got := dispatches(b.Submit(testStart, lookup(1)))
+	b := newTestBalancer(Config{RetryShare: 0.5}, target(endpointA, 4, StateAvailable), target(endpointB, 4, StateTrial))
+	got := dispatches(b.Submit(testStart, idempotentRequest(1)))
 	if len(got) != 2 || !got[0].Trial || got[0].Endpoint != endpointB || !got[1].Hedge || got[1].Endpoint != endpointA {
 		t.Fatalf("dispatched %+v", got)
 	}
-	if second := dispatches(b.Submit(at(time.Second), lookup(2))); len(second) != 1 || second[0].Trial {
-		t.Fatalf("a second trial beside the first: %+v", second)
+	if second := dispatches(b.Submit(at(time.Second), idempotentRequest(2))); len(second) != 1 || second[0].Trial {
+		t.Fatalf("a second trial while the first is running: %+v", second)
 	}
-	b.Finish(at(time.Second), 2, 1, AttemptAnswered, time.Second)
-	effects := b.Finish(at(time.Second), 1, 2, AttemptAnswered, time.Second)
-	one[Deliver](t, effects)
+	b.Finish(at(time.Second), 2, 1, AttemptSucceeded, time.Second)
+	effects := b.Finish(at(time.Second), 1, 2, AttemptSucceeded, time.Second)
+	onlyEffect[Deliver](t, effects)
 	if len(effects) != 1 {
-		t.Fatalf("the trial was not left to run: %+v", effects)
+		t.Fatalf("the running trial was cancelled: %+v", effects)
 	}
-	if c := one[CancelAttempt](t, b.Tick(at(10*time.Second))); c.ID != 1 || c.Attempt != 1 {
+	if c := onlyEffect[CancelAttempt](t, b.Tick(at(10*time.Second))); c.ID != 1 || c.Attempt != 1 {
 		t.Fatalf("at the deadline: %+v", c)
 	}
 }
 
 func TestTrialsLeaveBudgetForRetries(t *testing.T) {
-	b := newTestBalancer(Config{RetryShare: 0.1}, target(endpointA, 100, StandingOpen), target(endpointB, 1, StandingTrial))
+	b := newTestBalancer(Config{RetryShare: 0.1}, target(endpointA, 100, StateAvailable), target(endpointB, 1, StateTrial))
 	id := uint64(0)
 	for i := range 50 {
 		id++
 		now := at(time.Duration(i) * DefaultTrialInterval)
 		for _, d := range dispatches(b.Submit(now, Request{ID: id, Idempotent: true, Deadline: now.Add(time.Second)})) {
-			b.Finish(now, d.ID, d.Attempt, AttemptAnswered, time.Millisecond)
+			b.Finish(now, d.ID, d.Attempt, AttemptSucceeded, time.Millisecond)
 		}
 		if b.budget.balance < 1 {
-			t.Fatalf("after %d requests the trials left %f of the budget", id, b.budget.balance)
+			t.Fatalf("after %d requests the trials left %f tokens in the retry budget, want at least 1", id, b.budget.balance)
 		}
 	}
 }
 
-func TestColdEndpointStartsSlowly(t *testing.T) {
-	b := newTestBalancer(Config{SlowStart: 10 * time.Second, QueueLimit: -1}, target(endpointA, 11, StandingCold))
+func TestColdEndpointHasSlowStart(t *testing.T) {
+	b := newTestBalancer(Config{SlowStart: 10 * time.Second, QueueLimit: -1}, target(endpointA, 11, StateCold))
 	id := uint64(0)
 	for _, step := range []struct {
 		elapsed time.Duration
@@ -146,81 +146,81 @@
 			now := at(step.elapsed)
 			b.Submit(now, Request{ID: id, Deadline: now.Add(time.Hour)})
 		}
-		if got := b.byName[endpointA].outstanding; got != step.running {
-			t.Fatalf("%v after its start %d attempts run, want %d", step.elapsed, got, step.running)
+		if got := b.byAddress[endpointA].outstanding; got != step.running {
+			t.Fatalf("%v after slow start began %d attempts run, want %d", step.elapsed, got, step.running)
 		}
 	}
 }
 
-func TestReturnedEndpointStartsSlowly(t *testing.T) {
-	b := newTestBalancer(Config{}, target(endpointA, 8, StandingAvoided))
-	b.SetTargets(at(time.Second), []Target{target(endpointA, 8, StandingOpen)})
-	if got := b.byName[endpointA].limit(at(time.Second), DefaultSlowStart); got != 1 {
-		t.Fatalf("limit %d on return, want 1", got)
+func TestReadmittedEndpointHasSlowStart(t *testing.T) {
+	b := newTestBalancer(Config{}, target(endpointA, 8, StateExcluded))
+	b.SetTargets(at(time.Second), []Target{target(endpointA, 8, StateAvailable)})
+	if got := b.byAddress[endpointA].limit(at(time.Second), DefaultSlowStart); got != 1 {
+		t.Fatalf("limit %d on readmission, want 1", got)
 	}
 }
 
-func TestZonePreferenceGivesWay(t *testing.T) {
-	near, far := target(endpointA, 4, StandingOpen), target(endpointB, 4, StandingOpen)
-	near.Upstream.Zone, far.Upstream.Zone = "a", "b"
-	b := newTestBalancer(Config{Zone: "a"}, near, far)
+func TestFullZoneSpillsOver(t *testing.T) {
+	local, remote := target(endpointA, 4, StateAvailable), target(endpointB, 4, StateAvailable)
+	local.Upstream.Zone, remote.Upstream.Zone = "a", "b"
+	b := newTestBalancer(Config{Zone: "a"}, local, remote)
 	counts := make(map[fleet.Endpoint]int)
 	for id := range uint64(8) {
-		d := one[Dispatch](t, b.Submit(testStart, lookup(id+1)))
+		d := onlyEffect[Dispatch](t, b.Submit(testStart, idempotentRequest(id+1)))
 		counts[d.Endpoint]++
 		if id == 2 && counts[endpointA] != 3 {
-			t.Fatalf("of the first 3 requests %d stayed in the zone", counts[endpointA])
+			t.Fatalf("%d of the first 3 requests were sent to the own zone, want 3", counts[endpointA])
 		}
 		if id == 3 && counts[endpointB] != 1 {
-			t.Fatalf("the fourth request overloads the zone")
+			t.Fatalf("the fourth request was sent to the own zone although its score is above the spill threshold")
 		}
 	}
 	if counts[endpointA] != 4 || counts[endpointB] != 4 {
-		t.Fatalf("slots used %v", counts)
+		t.Fatalf("slots used %v, want 4 each", counts)
 	}
 }
 
-func TestReportedLoadLosesWeightWithAge(t *testing.T) {
-	loaded := target(endpointA, 4, StandingOpen)
+func TestReportedLoadDecays(t *testing.T) {
+	loaded := target(endpointA, 4, StateAvailable)
 	loaded.LoadHint = 1
 	b := newTestBalancer(Config{}, loaded)
-	fresh := b.byName[endpointA].load(testStart)
-	stale := b.byName[endpointA].load(at(5 * loadHalfLife))
+	fresh := b.byAddress[endpointA].load(testStart)
+	stale := b.byAddress[endpointA].load(at(5 * loadHalfLife))
 	if fresh != 1 || stale > 1.0/32 {
-		t.Fatalf("load %f fresh, %f stale", fresh, stale)
+		t.Fatalf("load %f when new, %f when stale", fresh, stale)
 	}
 	b.SetLoad(at(time.Second), endpointA, 0.25)
 	loaded.LoadAge = 5 * time.Second
 	b.SetTargets(at(2*time.Second), []Target{loaded})
-	if got := b.byName[endpointA].target.LoadHint; got != 0.25 {
-		t.Fatalf("an older report replaced the newer one: %f", got)
+	if got := b.byAddress[endpointA].target.LoadHint; got != 0.25 {
+		t.Fatalf("an older reported load replaced the newer one: %f", got)
 	}
 }
 
-func TestFullQueueShedsTheAccountThatHoldsMost(t *testing.T) {
-	b := newTestBalancer(Config{QueueLimit: 4}, target(endpointA, 1, StandingOpen))
+func TestFullQueueShedsFromLargestAccount(t *testing.T) {
+	b := newTestBalancer(Config{QueueLimit: 4}, target(endpointA, 1, StateAvailable))
 	submit := func(id uint64, account fleet.Account) []Effect {
 		return b.Submit(testStart, Request{ID: id, Account: account, Deadline: at(time.Hour)})
 	}
 	for id := range uint64(5) {
 		submit(id+1, "flood")
 	}
-	if r := one[Reject](t, submit(6, "flood")); r.ID != 6 || r.Reason != RejectQueueFull || !r.NotRun {
+	if r := onlyEffect[Reject](t, submit(6, "flood")); r.ID != 6 || r.Reason != RejectQueueFull || !r.NotRun {
 		t.Fatalf("rejected %+v", r)
 	}
-	if r := one[Reject](t, submit(7, "quiet")); r.ID != 5 {
-		t.Fatalf("rejected %+v, want the flood's newest", r)
+	if r := onlyEffect[Reject](t, submit(7, "quiet")); r.ID != 5 {
+		t.Fatalf("rejected %+v, want the flooding account's newest request", r)
 	}
-	if d := one[Dispatch](t, b.Finish(testStart, 1, 1, AttemptAnswered, time.Millisecond)); d.ID != 2 && d.ID != 7 {
+	if d := onlyEffect[Dispatch](t, b.Finish(testStart, 1, 1, AttemptSucceeded, time.Millisecond)); d.ID != 2 && d.ID != 7 {
 		t.Fatalf("served %+v", d)
 	}
 }
 
-func TestQueueIsBoundedByTheSlots(t *testing.T) {
-	for _, c := range []struct{ slots, waiting int }{{1, queueLeast}, {6, 6 * queuePerSlot}, {100, DefaultQueueLimit}} {
-		b := newTestBalancer(Config{}, target(endpointA, c.slots, StandingOpen))
+func TestQueueBoundGrowsWithSlots(t *testing.T) {
+	for _, c := range []struct{ slots, waiting int }{{1, queueMin}, {6, 6 * queuePerSlot}, {100, DefaultQueueLimit}} {
+		b := newTestBalancer(Config{}, target(endpointA, c.slots, StateAvailable))
 		for id := range uint64(c.slots + 2*DefaultQueueLimit) {
-			b.Submit(testStart, lookup(id+1))
+			b.Submit(testStart, idempotentRequest(id+1))
 		}
 		if b.waiting() != c.waiting {
 			t.Errorf("%d requests wait for %d slots, want %d", b.waiting(), c.slots, c.waiting)
@@ -228,23 +228,23 @@
 	}
 }
 
-func TestWeightsShareAFullQueue(t *testing.T) {
-	cfg := Config{QueueLimit: 40, Weights: map[fleet.Account]int{"heavy": 3}}
-	b := newTestBalancer(cfg, target(endpointA, 1, StandingOpen))
-	owner := make(map[uint64]fleet.Account)
+func TestAccountsShareFullQueueByWeight(t *testing.T) {
+	cfg := Config{QueueLimit: 40, AccountWeights: map[fleet.Account]int{"heavy": 3}}
+	b := newTestBalancer(cfg, target(endpointA, 1, StateAvailable))
+	accountOf := make(map[uint64]fleet.Account)
 	id, running := uint64(0), uint64(0)
 	served := make(map[fleet.Account]int)
 	for range 400 {
 		for _, account := range []fleet.Account{"heavy", "light"} {
 			id++
-			owner[id] = account
+			accountOf[id] = account
 			if d := dispatches(b.Submit(testStart, Request{ID: id, Account: account, Deadline: at(time.Hour)})); len(d) > 0 {
 				running = d[0].ID
 			}
 		}
-		d := one[Dispatch](t, b.Finish(testStart, running, 1, AttemptAnswered, time.Millisecond))
+		d := onlyEffect[Dispatch](t, b.Finish(testStart, running, 1, AttemptSucceeded, time.Millisecond))
 		running = d.ID
-		served[owner[d.ID]]++
+		served[accountOf[d.ID]]++
 	}
 	ratio := float64(served["heavy"]) / float64(served["light"])
 	if ratio < 2.7 || ratio > 3.3 {
@@ -253,87 +253,87 @@
 }
 
 func TestRequestThatCannotMeetItsDeadlineIsShed(t *testing.T) {
-	b := newTestBalancer(Config{}, target(endpointA, 1, StandingOpen))
-	warm(b)
-	b.Submit(testStart, lookup(1))
+	b := newTestBalancer(Config{}, target(endpointA, 1, StateAvailable))
+	addLatencySamples(b)
+	b.Submit(testStart, idempotentRequest(1))
 	b.Submit(testStart, Request{ID: 2, Deadline: at(50 * time.Millisecond)})
 	wake, _ := b.NextWake(testStart)
 	for wake.Before(at(30 * time.Millisecond)) {
 		b.Tick(wake)
 		wake, _ = b.NextWake(wake)
 	}
-	if r := one[Reject](t, b.Tick(wake)); r.ID != 2 || r.Reason != RejectDeadline || !r.NotRun || !wake.Before(at(50*time.Millisecond)) {
+	if r := onlyEffect[Reject](t, b.Tick(wake)); r.ID != 2 || r.Reason != RejectDeadline || !r.NotRun || !wake.Before(at(50*time.Millisecond)) {
 		t.Fatalf("at %v: %+v", wake, r)
 	}
 }
 
-func TestNoEndpointRejectsWhatWaits(t *testing.T) {
-	b := newTestBalancer(Config{}, target(endpointA, 1, StandingOpen))
-	b.Submit(testStart, lookup(1))
-	b.Submit(testStart, lookup(2))
-	effects := b.Leave(testStart, endpointA)
-	if r := one[Reject](t, effects); r.ID != 2 || r.Reason != RejectNoEndpoint {
+func TestNoEndpointRejectsWaitingRequests(t *testing.T) {
+	b := newTestBalancer(Config{}, target(endpointA, 1, StateAvailable))
+	b.Submit(testStart, idempotentRequest(1))
+	b.Submit(testStart, idempotentRequest(2))
+	effects := b.MarkLeaving(testStart, endpointA)
+	if r := onlyEffect[Reject](t, effects); r.ID != 2 || r.Reason != RejectNoEndpoint {
 		t.Fatalf("rejected %+v", r)
 	}
-	if r := one[Reject](t, b.Submit(testStart, lookup(3))); r.Reason != RejectNoEndpoint {
+	if r := onlyEffect[Reject](t, b.Submit(testStart, idempotentRequest(3))); r.Reason != RejectNoEndpoint {
 		t.Fatalf("rejected %+v", r)
 	}
-	one[Deliver](t, b.Finish(testStart, 1, 1, AttemptAnswered, time.Millisecond))
+	onlyEffect[Deliver](t, b.Finish(testStart, 1, 1, AttemptSucceeded, time.Millisecond))
 	if len(b.requests) != 0 {
-		t.Fatalf("%d requests are held", len(b.requests))
+		t.Fatalf("%d requests are left", len(b.requests))
 	}
 }
 
 func TestRetryWaitsForAnotherEndpoint(t *testing.T) {
 	b := newTestBalancer(Config{RetryShare: 0.5, RetryBurst: 2, HedgeQuantile: -1},
-		target(endpointA, 1, StandingOpen), target(endpointB, 1, StandingOpen))
-	first := one[Dispatch](t, b.Submit(testStart, lookup(1)))
-	second := one[Dispatch](t, b.Submit(testStart, lookup(2)))
-	if got := b.Finish(testStart, 1, 1, AttemptBroken, 0); len(got) != 0 {
-		t.Fatalf("the retry did not wait: %+v", got)
+		target(endpointA, 1, StateAvailable), target(endpointB, 1, StateAvailable))
+	first := onlyEffect[Dispatch](t, b.Submit(testStart, idempotentRequest(1)))
+	second := onlyEffect[Dispatch](t, b.Submit(testStart, idempotentRequest(2)))
+	if got := b.Finish(testStart, 1, 1, AttemptIncomplete, 0); len(got) != 0 {
+		t.Fatalf("the retry was not queued: %+v", got)
 	}
-	third := one[Dispatch](t, b.Submit(testStart, lookup(3)))
+	third := onlyEffect[Dispatch](t, b.Submit(testStart, idempotentRequest(3)))
 	if third.Endpoint != first.Endpoint {
-		t.Fatalf("the free slot on %s was kept from others: %+v", first.Endpoint, third)
+		t.Fatalf("the free slot on %s was not used by another request: %+v", first.Endpoint, third)
 	}
-	retry := one[Dispatch](t, b.Finish(testStart, 2, 1, AttemptAnswered, time.Millisecond))
+	retry := onlyEffect[Dispatch](t, b.Finish(testStart, 2, 1, AttemptSucceeded, time.Millisecond))
 	if retry.ID != 1 || retry.Attempt != 2 || retry.Endpoint != second.Endpoint {
 		t.Fatalf("retried %+v", retry)
 	}
 	if b.budget.balance != 1.5 {
-		t.Fatalf("balance %f after a burst of 2, a retry and one request more", b.budget.balance)
+		t.Fatalf("balance %f, want 1.5 after a burst of 2, one retry and one more request", b.budget.balance)
 	}
 }
 
-func TestRetryThatCannotBeSentDeliversTheFormerOutcome(t *testing.T) {
+func TestRetryWithoutEndpointDeliversPreviousOutcome(t *testing.T) {
 	b := newTestBalancer(Config{RetryShare: 0.5, HedgeQuantile: -1},
-		target(endpointA, 1, StandingOpen), target(endpointB, 1, StandingOpen))
-	b.Submit(testStart, lookup(1))
-	second := one[Dispatch](t, b.Submit(testStart, lookup(2)))
-	b.Finish(testStart, 1, 1, AttemptBroken, 0)
-	effects := b.Leave(testStart, second.Endpoint)
-	if d := one[Deliver](t, effects); d.ID != 1 || d.Attempt != 1 || len(effects) != 1 {
+		target(endpointA, 1, StateAvailable), target(endpointB, 1, StateAvailable))
+	b.Submit(testStart, idempotentRequest(1))
+	second := onlyEffect[Dispatch](t, b.Submit(testStart, idempotentRequest(2)))
+	b.Finish(testStart, 1, 1, AttemptIncomplete, 0)
+	effects := b.MarkLeaving(testStart, second.Endpoint)
+	if d := onlyEffect[Deliver](t, effects); d.ID != 1 || d.Attempt != 1 || len(effects) != 1 {
 		t.Fatalf("effects %+v", effects)
 	}
 }
 
-// listed is a fixed set of candidates.
-type listed []struct {
+// fixedCandidates implements Candidates for TestPolicies.
+type fixedCandidates []struct {
 	endpoint    fleet.Endpoint
 	outstanding int
 	score       float64
 }
 
-func (l listed) Len() int                      { return len(l) }
-func (l listed) Endpoint(i int) fleet.Endpoint { return l[i].endpoint }
-func (l listed) Outstanding(i int) int         { return l[i].outstanding }
-func (l listed) Score(i int) float64           { return l[i].score }
+func (l fixedCandidates) Len() int                      { return len(l) }
+func (l fixedCandidates) Endpoint(i int) fleet.Endpoint { return l[i].endpoint }
+func (l fixedCandidates) Outstanding(i int) int         { return l[i].outstanding }
+func (l fixedCandidates) Score(i int) float64           { return l[i].score }
 
 func TestPolicies(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	c := listed{{endpointB, 1, 3}, {endpointA, 2, 2}, {endpointC, 3, 1}}
+	c := fixedCandidates{{endpointB, 1, 3}, {endpointA, 2, 2}, {endpointC, 3, 1}}
 	if got := (LeastConnections{}).Pick(random, c); got != 0 {
-		t.Errorf("least connections took %s", c[got].endpoint)
+		t.Errorf("LeastConnections picked %s", c[got].endpoint)
 	}
 	order := ""
 	policy := &RoundRobin{}
@@ -341,11 +341,11 @@
 		order += fmt.Sprint(policy.Pick(random, c))
 	}
 	if order != "1021" {
-		t.Errorf("round robin took %s, want 1021", order)
+		t.Errorf("RoundRobin picked %s, want 1021", order)
 	}
 	for range 20 {
 		if got := (TwoChoices{}).Pick(random, c); got == 0 {
-			t.Errorf("two choices took the highest score")
+			t.Errorf("TwoChoices picked the highest score")
 		}
 	}
 }
--- a/coord/routing/bench_test.go
+++ b/coord/routing/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// BenchmarkDecision measures one request from Submit to Finish with half of the slots in use.
+// BenchmarkDecision measures one request from Submit to Finish while half of the slots are in use.
 func BenchmarkDecision(b *testing.B) {
 	for _, endpoints := range []int{6, 20, 44} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) { benchmarkDecision(b, endpoints) })
@@ -19,7 +19,7 @@
 	const slots = 4
 	var targets []Target
 	for i := range endpoints {
-		targets = append(targets, target(fleet.Endpoint(fmt.Sprintf("192.0.2.%d:80", i)), slots, StandingOpen))
+		targets = append(targets, target(fleet.Endpoint(fmt.Sprintf("192.0.2.%d:80", i)), slots, StateAvailable))
 	}
 	balancer := newTestBalancer(Config{RetryShare: 0.1}, targets...)
 	now := testStart
@@ -35,14 +35,14 @@
 	for b.Loop() {
 		now = now.Add(10 * time.Microsecond)
 		submit(next)
-		balancer.Finish(now, next-inUse, 1, AttemptAnswered, 10*time.Millisecond)
+		balancer.Finish(now, next-inUse, 1, AttemptSucceeded, 10*time.Millisecond)
 		next++
 	}
 }
 
-// BenchmarkWaiting measures one request that goes through a full queue of many accounts.
+// BenchmarkWaiting measures one request that passes through a full queue of many accounts.
 func BenchmarkWaiting(b *testing.B) {
-	balancer := newTestBalancer(Config{}, target(endpointA, 1, StandingOpen))
+	balancer := newTestBalancer(Config{}, target(endpointA, 1, StateAvailable))
 	now := testStart
 	accounts := make([]fleet.Account, DefaultQueueLimit)
 	for i := range accounts {
@@ -63,7 +63,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		submit()
-		for _, effect := range balancer.Finish(now, running, 1, AttemptAnswered, 10*time.Millisecond) {
+		for _, effect := range balancer.Finish(now, running, 1, AttemptSucceeded, 10*time.Millisecond) {
 			if d, ok := effect.(Dispatch); ok {
 				running = d.ID
 			}
--- a/coord/routing/config.go
+++ b/coord/routing/config.go
@@ -8,36 +8,36 @@
 
 // Defaults of Config.
 const (
-	DefaultQueueLimit    = 64
-	DefaultRetryShare    = 0.1
-	DefaultRetryBurst    = 3
-	DefaultHedgeQuantile = 0.95
-	DefaultMaxAttempts   = 3
-	DefaultSlowStart     = 10 * time.Second
-	DefaultTrialInterval = 100 * time.Millisecond
-	DefaultZoneSpill     = 0.75
+	DefaultQueueLimit         = 64
+	DefaultRetryShare         = 0.1
+	DefaultRetryBurst         = 3
+	DefaultHedgeQuantile      = 0.95
+	DefaultMaxAttempts        = 3
+	DefaultSlowStart          = 10 * time.Second
+	DefaultTrialInterval      = 100 * time.Millisecond
+	DefaultZoneSpillThreshold = 0.75
 )
 
-// maxAttemptsBound bounds Config.MaxAttempts.
+// maxAttemptsBound is the upper bound of Config.MaxAttempts.
 const maxAttemptsBound = 8
 
-// Config holds the settings of one service. Zero values take the defaults, but for
-// RetryShare, where zero allows no retry, no hedge and no trial request.
+// Config holds the settings of one service. Zero values take the defaults, except for
+// RetryShare, where zero disables retries, hedges and trial requests.
 type Config struct {
-	QueueLimit    int                   // Bound of the requests that wait, further bounded by the slots. Negative for none.
-	RetryShare    float64               // Retries and hedges allowed per request taken, 0 to 1.
-	RetryBurst    int                   // Retries and hedges allowed beyond the share. Negative for none.
-	HedgeQuantile float64               // Quantile of latency after which a hedge starts, 0 to 1. Negative for no hedges.
-	MaxAttempts   int                   // Attempts of one request, at most 8.
-	Zone          fleet.Zone            // This instance's zone; empty for no preference.
-	ZoneSpill     float64               // Utilization of the nearest choice above which other zones are weighed too.
-	SlowStart     time.Duration         // Time in which a cold endpoint's limit grows from one to its full limit.
-	TrialInterval time.Duration         // Time between two trial requests on one endpoint.
-	Weights       map[fleet.Account]int // Shares of a full queue; absent accounts have weight one.
-	Policy        Policy                // Selection; nil for two random choices.
+	QueueLimit         int                   // Maximum number of queued requests, further limited by the slots. Negative for no queue.
+	RetryShare         float64               // Retries and hedges allowed per admitted request, 0 to 1.
+	RetryBurst         int                   // Retries and hedges allowed beyond RetryShare. Negative for none.
+	HedgeQuantile      float64               // Latency quantile after which a hedge starts, 0 to 1. Negative for no hedges.
+	MaxAttempts        int                   // Maximum attempts of one request, at most 8.
+	Zone               fleet.Zone            // This instance's zone, which is preferred; empty for no preference.
+	ZoneSpillThreshold float64               // Score of the endpoint selected in Zone above which other zones are considered too.
+	SlowStart          time.Duration         // Duration over which an endpoint's limit grows from one to its full limit.
+	TrialInterval      time.Duration         // Minimum time between two trial requests to one endpoint.
+	AccountWeights     map[fleet.Account]int // Weights by which accounts share a full queue; absent accounts have weight one.
+	Policy             Policy                // Endpoint selection; nil for TwoChoices.
 }
 
-// withDefaults returns c with the defaults filled in and every value inside its bounds.
+// withDefaults returns c with defaults filled in and values clamped to their bounds.
 func (c Config) withDefaults() Config {
 	c.QueueLimit = intDefault(c.QueueLimit, DefaultQueueLimit)
 	c.RetryBurst = intDefault(c.RetryBurst, DefaultRetryBurst)
@@ -47,8 +47,8 @@
 	if c.HedgeQuantile == 0 {
 		c.HedgeQuantile = DefaultHedgeQuantile
 	}
-	if c.ZoneSpill <= 0 {
-		c.ZoneSpill = DefaultZoneSpill
+	if c.ZoneSpillThreshold <= 0 {
+		c.ZoneSpillThreshold = DefaultZoneSpillThreshold
 	}
 	if c.SlowStart <= 0 {
 		c.SlowStart = DefaultSlowStart
@@ -70,9 +70,9 @@
 	return max(v, 0)
 }
 
-// weight returns an account's share of the queue.
+// weight returns an account's queue weight.
 func (c *Config) weight(a fleet.Account) float64 {
-	if w := c.Weights[a]; w > 0 {
+	if w := c.AccountWeights[a]; w > 0 {
 		return float64(w)
 	}
 	return 1
--- a/coord/routing/doc.go
+++ b/coord/routing/doc.go
@@ -1,19 +1,21 @@
-// Package routing chooses the endpoint, the moment and the number of attempts for each request of a service.
+// Package routing balances the requests of a service over its endpoints: it queues
+// requests, selects endpoints, and decides on retries and hedges.
 //
-// A Balancer is a state machine for one service on one instance. It is handed
-// requests, the ends of attempts and the time, and returns effects. It reads no
-// clock, starts no goroutine and draws from the random source it was given.
+// A Balancer is a deterministic state machine for one service on one instance. Its
+// inputs are requests, results of attempts, changes of the endpoints and the current
+// time; its outputs are Effects, which the caller carries out. It reads no clock, starts
+// no goroutine and takes random numbers only from the source passed to NewBalancer.
 //
-// Guarantees, each held by a property test:
+// Guarantees, each checked by a property test:
 //
-//   - An endpoint never has more attempts under way than its limit.
-//   - No attempt starts on an endpoint that is avoided, leaving or removed.
-//   - A request that is not idempotent is sent again only after every earlier
-//     attempt is known not to have run (AttemptNotSent, AttemptRefused).
-//   - Retries and hedges together stay within RetryShare of the requests taken,
-//     plus RetryBurst, over any window.
+//   - No attempt starts on an endpoint whose running attempts have reached its limit.
+//   - No attempt starts on an endpoint that is excluded, leaving or removed.
+//   - A request that is not idempotent is retried only after every earlier attempt is
+//     known not to have run (AttemptNotSent, AttemptRefused).
+//   - Over any window, retries and hedges together number at most RetryShare times the
+//     admitted requests, plus RetryBurst.
 //   - A request ends exactly once, with Deliver or Reject, and Reject.NotRun is
 //     true only when no attempt can have run.
 //   - No attempt has a deadline after its request's deadline.
-//   - Each account that waits is served: accounts share a full queue by weight.
+//   - No account starves: accounts share a full queue in proportion to their weights.
 package routing
--- a/coord/routing/model_test.go
+++ b/coord/routing/model_test.go
@@ -14,23 +14,23 @@
 
 var testStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// drawnStandings are drawn from, open ones most often.
-var drawnStandings = []Standing{
-	StandingOpen, StandingOpen, StandingOpen, StandingOpen,
-	StandingCold, StandingTrial, StandingAvoided, StandingLeaving,
+// drawnStates are the states that targets are drawn from; most targets are available.
+var drawnStates = []EndpointState{
+	StateAvailable, StateAvailable, StateAvailable, StateAvailable,
+	StateCold, StateTrial, StateExcluded, StateLeaving,
 }
 
-// didNotRun lists the results after which a request is known not to have run.
+// didNotRun are the results after which a request is known not to have run.
 var didNotRun = map[AttemptResult]bool{AttemptNotSent: true, AttemptRefused: true}
 
-// attemptKey names one attempt.
+// attemptKey identifies one attempt.
 type attemptKey struct {
 	id     uint64
 	number int
 }
 
-// tracked is what the model knows of a request.
-type tracked struct {
+// trackedRequest is the model's record of a request.
+type trackedRequest struct {
 	Request
 	dispatched int
 	ends       int
@@ -39,17 +39,17 @@
 
 // model checks the effects of a Balancer against its guarantees.
 type model struct {
-	t        *rapid.T
-	b        *Balancer
-	cfg      Config
-	now      time.Time
-	nextID   uint64
-	targets  map[fleet.Endpoint]Target
-	requests map[uint64]*tracked
-	running  map[attemptKey]Dispatch
-	first    int
-	extra    int
-	greatest float64 // Greatest of share*first - extra so far.
+	t             *rapid.T
+	b             *Balancer
+	cfg           Config
+	now           time.Time
+	nextID        uint64
+	targets       map[fleet.Endpoint]Target
+	requests      map[uint64]*trackedRequest
+	running       map[attemptKey]Dispatch
+	firstAttempts int
+	extraAttempts int
+	maxBalance    float64 // Maximum of RetryShare*firstAttempts - extraAttempts so far.
 }
 
 func newModel(t *rapid.T) *model {
@@ -67,7 +67,7 @@
 		cfg:      cfg,
 		now:      testStart,
 		targets:  make(map[fleet.Endpoint]Target),
-		requests: make(map[uint64]*tracked),
+		requests: make(map[uint64]*trackedRequest),
 		running:  make(map[attemptKey]Dispatch),
 	}
 }
@@ -79,7 +79,7 @@
 			m.dispatched(e)
 		case CancelAttempt:
 			if _, ok := m.running[attemptKey{e.ID, e.Attempt}]; !ok {
-				m.t.Fatalf("cancelled attempt %d of %d, which is not under way", e.Attempt, e.ID)
+				m.t.Fatalf("cancelled attempt %d of request %d, which is not running", e.Attempt, e.ID)
 			}
 		case Deliver:
 			m.delivered(e)
@@ -87,39 +87,40 @@
 			m.rejected(e)
 		}
 	}
-	m.checkLimits()
+	m.checkOutstanding()
 }
 
 func (m *model) dispatched(d Dispatch) {
 	r := m.requests[d.ID]
 	target, listed := m.targets[d.Endpoint]
-	if !listed || target.Standing == StandingAvoided || target.Standing == StandingLeaving {
-		m.t.Fatalf("attempt of %d to %s, listed %v, standing %d", d.ID, d.Endpoint, listed, target.Standing)
+	if !listed || target.State == StateExcluded || target.State == StateLeaving {
+		m.t.Fatalf("attempt of request %d to %s, listed %v, state %d", d.ID, d.Endpoint, listed, target.State)
 	}
-	if target.Standing == StandingTrial && (!r.Idempotent || !d.Trial) {
-		m.t.Fatalf("attempt of %d to %s on trial: idempotent %v, trial %v", d.ID, d.Endpoint, r.Idempotent, d.Trial)
+	if target.State == StateTrial && (!r.Idempotent || !d.Trial) {
+		m.t.Fatalf("attempt of request %d to %s on trial: idempotent %v, trial %v", d.ID, d.Endpoint, r.Idempotent, d.Trial)
 	}
 	if d.Deadline.After(r.Deadline) {
-		m.t.Fatalf("attempt of %d has deadline %v after the request's %v", d.ID, d.Deadline, r.Deadline)
+		m.t.Fatalf("attempt of request %d has deadline %v after the request's %v", d.ID, d.Deadline, r.Deadline)
 	}
 	if r.ends > 0 {
-		m.t.Fatalf("attempt of %d after its end", d.ID)
+		m.t.Fatalf("attempt of request %d after its end", d.ID)
 	}
 	if !m.now.Before(r.Deadline) {
-		m.t.Fatalf("attempt of %d at %v, after its deadline %v", d.ID, m.now, r.Deadline)
+		m.t.Fatalf("attempt of request %d at %v, after its deadline %v", d.ID, m.now, r.Deadline)
 	}
 	r.dispatched++
 	r.results = append(r.results, 0)
 	if d.Attempt != r.dispatched {
-		m.t.Fatalf("attempt of %d is numbered %d, want %d", d.ID, d.Attempt, r.dispatched)
+		m.t.Fatalf("attempt of request %d is numbered %d, want %d", d.ID, d.Attempt, r.dispatched)
 	}
-	m.checkRepeat(r)
-	m.countSent(d)
+	m.checkNotIdempotent(r)
+	m.checkRetryBudget(d)
 	m.running[attemptKey{d.ID, d.Attempt}] = d
 }
 
-// checkRepeat holds that a request that is not idempotent is never sent twice.
-func (m *model) checkRepeat(r *tracked) {
+// checkNotIdempotent checks that a request that is not idempotent is sent again only after
+// every earlier attempt is known not to have run.
+func (m *model) checkNotIdempotent(r *trackedRequest) {
 	if r.Idempotent {
 		return
 	}
@@ -130,20 +131,21 @@
 	}
 }
 
-// countSent holds that over any window extra attempts stay within share*taken + burst.
-// Over the window since the point where share*first - extra was greatest, the fall of
-// that difference is extra - share*first of the window.
-func (m *model) countSent(d Dispatch) {
+// checkRetryBudget checks that over any window the extra attempts are at most
+// RetryShare times the first attempts, plus RetryBurst. The worst window starts where
+// RetryShare*firstAttempts - extraAttempts was at its maximum: from there to now, the
+// decrease of that balance is how far the extra attempts exceed the share.
+func (m *model) checkRetryBudget(d Dispatch) {
 	if d.Attempt == 1 {
-		m.first++
+		m.firstAttempts++
 	} else {
-		m.extra++
+		m.extraAttempts++
 	}
-	balance := m.cfg.RetryShare*float64(m.first) - float64(m.extra)
-	m.greatest = max(m.greatest, balance)
+	balance := m.cfg.RetryShare*float64(m.firstAttempts) - float64(m.extraAttempts)
+	m.maxBalance = max(m.maxBalance, balance)
 	const rounding = 1e-6
-	if m.greatest-balance > float64(m.cfg.RetryBurst)+rounding {
-		m.t.Fatalf("extra attempts exceed the budget by %f in some window", m.greatest-balance-float64(m.cfg.RetryBurst))
+	if m.maxBalance-balance > float64(m.cfg.RetryBurst)+rounding {
+		m.t.Fatalf("extra attempts exceed the budget by %f in some window", m.maxBalance-balance-float64(m.cfg.RetryBurst))
 	}
 }
 
@@ -157,8 +159,8 @@
 		m.t.Fatalf("request %d delivered attempt %d, which has not ended", d.ID, d.Attempt)
 	}
 	for i, result := range r.results {
-		if result.worth() > r.results[d.Attempt-1].worth() {
-			m.t.Fatalf("request %d delivered attempt %d, but attempt %d tells more", d.ID, d.Attempt, i+1)
+		if result.precedence() > r.results[d.Attempt-1].precedence() {
+			m.t.Fatalf("request %d delivered attempt %d, but attempt %d has precedence", d.ID, d.Attempt, i+1)
 		}
 	}
 }
@@ -176,36 +178,37 @@
 	}
 }
 
-func (m *model) checkLimits() {
+// checkOutstanding checks the balancer's count of running attempts per endpoint.
+func (m *model) checkOutstanding() {
 	counts := make(map[fleet.Endpoint]int)
 	for _, d := range m.running {
 		counts[d.Endpoint]++
 	}
-	for name, e := range m.b.byName {
+	for name, e := range m.b.byAddress {
 		if counts[name] != e.outstanding {
-			m.t.Fatalf("endpoint %s counts %d attempts, %d are under way", name, e.outstanding, counts[name])
+			m.t.Fatalf("endpoint %s counts %d attempts, %d are running", name, e.outstanding, counts[name])
 		}
 	}
 }
 
-// checkWakes holds that every request under way wakes the balancer by its deadline, and
-// that a Tick leaves nothing due.
+// checkWakes checks that the wake time of every request is at most its deadline, and that
+// nothing is due after a Tick.
 func (m *model) checkWakes() {
 	for id, r := range m.b.requests {
 		if r.stopped {
 			continue
 		}
 		if r.wakeIndex < 0 || r.wakeAt.After(r.Deadline) {
-			m.t.Fatalf("request %d with deadline %v wakes at %v (%d)", id, r.Deadline, r.wakeAt, r.wakeIndex)
+			m.t.Fatalf("request %d with deadline %v has wake time %v, heap index %d", id, r.Deadline, r.wakeAt, r.wakeIndex)
 		}
 	}
 	m.step(func() []Effect { return m.b.Tick(m.now) })
 	if wake, ok := m.b.NextWake(m.now); ok && !wake.After(m.now) {
-		m.t.Fatalf("a wake at %v is left after a tick at %v", wake, m.now)
+		m.t.Fatalf("a wake at %v is still due after a tick at %v", wake, m.now)
 	}
 }
 
-// checkNewLimit holds that an attempt that has just started is within the limit.
+// checkNewLimit checks that no attempt was started beyond an endpoint's limit.
 func (m *model) checkNewLimit(before map[attemptKey]Dispatch) {
 	counts := make(map[fleet.Endpoint]int)
 	for _, d := range m.running {
@@ -216,7 +219,7 @@
 			continue
 		}
 		limit := m.targets[d.Endpoint].Limit
-		if m.targets[d.Endpoint].Standing == StandingTrial {
+		if m.targets[d.Endpoint].State == StateTrial {
 			limit = min(limit, 1)
 		}
 		if counts[d.Endpoint] > limit {
@@ -225,7 +228,7 @@
 	}
 }
 
-// step runs one call of the balancer and checks what it started.
+// step runs one call of the balancer and checks its effects.
 func (m *model) step(effects func() []Effect) {
 	before := make(map[attemptKey]Dispatch, len(m.running))
 	for k, d := range m.running {
@@ -242,7 +245,7 @@
 		name := fleet.Endpoint(fmt.Sprintf("192.0.2.%d:80", i))
 		target := Target{
 			Upstream: fleet.Upstream{Endpoint: name, Zone: rapid.SampledFrom([]fleet.Zone{"a", "b"}).Draw(t, "zone")},
-			Standing: rapid.SampledFrom(drawnStandings).Draw(t, "standing"),
+			State:    rapid.SampledFrom(drawnStates).Draw(t, "standing"),
 			Limit:    rapid.SampledFrom([]int{1, 1, 2, 3, 0}).Draw(t, "limit"),
 			LoadHint: rapid.Float64Range(0, 1).Draw(t, "load"),
 		}
@@ -260,7 +263,7 @@
 		Idempotent: rapid.Bool().Draw(t, "idempotent"),
 		Deadline:   m.now.Add(time.Duration(rapid.IntRange(-1, 500).Draw(t, "deadline")) * time.Millisecond),
 	}
-	m.requests[r.ID] = &tracked{Request: r}
+	m.requests[r.ID] = &trackedRequest{Request: r}
 	m.step(func() []Effect { return m.b.Submit(m.now, r) })
 }
 
@@ -284,13 +287,13 @@
 	m.step(func() []Effect { return m.b.Finish(m.now, key.id, key.number, result, latency) })
 }
 
-func (m *model) finishSome(t *rapid.T) {
+func (m *model) finishOne(t *rapid.T) {
 	keys := m.runningKeys()
 	if len(keys) == 0 {
 		return
 	}
 	key := rapid.SampledFrom(keys).Draw(t, "attempt")
-	result := AttemptResult(rapid.IntRange(int(AttemptAnswered), int(AttemptCancelled)).Draw(t, "result"))
+	result := AttemptResult(rapid.IntRange(int(AttemptSucceeded), int(AttemptCancelled)).Draw(t, "result"))
 	latency := time.Duration(rapid.IntRange(1, 100).Draw(t, "latency")) * time.Millisecond
 	m.finish(key, result, latency)
 }
@@ -308,10 +311,11 @@
 	m.step(func() []Effect { return m.b.Cancel(m.now, id) })
 }
 
-// finishAll ends every attempt and passes every deadline; each request must then have ended once.
+// finishAll ends every attempt and moves the time past every deadline. Each request must
+// then have ended exactly once.
 func (m *model) finishAll() {
 	for len(m.running) > 0 {
-		m.finish(m.runningKeys()[0], AttemptBroken, time.Millisecond)
+		m.finish(m.runningKeys()[0], AttemptIncomplete, time.Millisecond)
 	}
 	m.now = m.now.Add(time.Minute)
 	m.step(func() []Effect { return m.b.Tick(m.now) })
@@ -321,10 +325,10 @@
 		}
 	}
 	if len(m.b.requests) != 0 || len(m.b.wakes) != 0 || m.b.waiting() != 0 {
-		m.t.Fatalf("the balancer holds %d requests, %d wakes, %d waiting at the end", len(m.b.requests), len(m.b.wakes), m.b.waiting())
+		m.t.Fatalf("the balancer has %d requests, %d wakes and %d waiting requests left at the end", len(m.b.requests), len(m.b.wakes), m.b.waiting())
 	}
 	if _, ok := m.b.NextWake(m.now); ok {
-		m.t.Fatalf("the balancer asks to be woken without a request")
+		m.t.Fatalf("NextWake returns a time without a request")
 	}
 }
 
@@ -335,8 +339,8 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"submit":     m.submit,
 			"submit2":    m.submit,
-			"finish":     m.finishSome,
-			"finish2":    m.finishSome,
+			"finish":     m.finishOne,
+			"finish2":    m.finishOne,
 			"tick":       m.tick,
 			"cancel":     m.cancel,
 			"setTargets": m.setTargets,
--- a/coord/routing/policy.go
+++ b/coord/routing/policy.go
@@ -6,25 +6,27 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Candidates are the endpoints that may take an attempt now, numbered from 0.
+// Candidates are the endpoints on which an attempt may start now, indexed from 0.
 type Candidates interface {
 	Len() int
 	// Endpoint returns the address of candidate i.
 	Endpoint(i int) fleet.Endpoint
-	// Outstanding returns the attempts that this instance has under way on candidate i.
+	// Outstanding returns the number of this instance's running attempts on candidate i.
 	Outstanding(i int) int
-	// Score returns the estimated cost of candidate i: own utilization times slowness,
-	// reported load, recent failures and slow start. Lower is better.
+	// Score returns the estimated cost of candidate i; lower is better. It is the
+	// utilization by this instance times the relative latency, plus terms for reported
+	// load, recent failures and slow start.
 	Score(i int) float64
 }
 
-// Policy picks one of the candidates.
+// Policy selects the endpoint of an attempt.
 type Policy interface {
-	// Pick returns the number of the pick. There is at least one candidate.
+	// Pick returns the index of the selected candidate. There is at least one candidate.
 	Pick(random *rand.Rand, c Candidates) int
 }
 
-// TwoChoices draws two candidates and takes the one with the lower score.
+// TwoChoices draws two random candidates and picks the one with the lower score
+// (power of two choices).
 type TwoChoices struct{}
 
 // Pick implements Policy.
@@ -44,7 +46,7 @@
 	return first
 }
 
-// Random takes any candidate. It is a baseline for measurements.
+// Random picks a random candidate. It is a baseline for benchmarks.
 type Random struct{}
 
 // Pick implements Policy.
@@ -52,18 +54,18 @@
 	return random.IntN(c.Len())
 }
 
-// RoundRobin takes the candidates in the order of their names. It is a baseline for measurements.
+// RoundRobin picks the candidates in turn, in order of address. It is a baseline for benchmarks.
 type RoundRobin struct{ last fleet.Endpoint }
 
 // Pick implements Policy.
 func (p *RoundRobin) Pick(_ *rand.Rand, c Candidates) int {
 	next, first := -1, 0
 	for i := range c.Len() {
-		name := c.Endpoint(i)
-		if name < c.Endpoint(first) {
+		address := c.Endpoint(i)
+		if address < c.Endpoint(first) {
 			first = i
 		}
-		if name > p.last && (next < 0 || name < c.Endpoint(next)) {
+		if address > p.last && (next < 0 || address < c.Endpoint(next)) {
 			next = i
 		}
 	}
@@ -74,8 +76,8 @@
 	return next
 }
 
-// LeastConnections takes the candidate with the fewest attempts under way, at random
-// among equals. It is a baseline for measurements.
+// LeastConnections picks the candidate with the fewest running attempts, at random
+// among equals. It is a baseline for benchmarks.
 type LeastConnections struct{}
 
 // Pick implements Policy.
--- a/coord/routing/property_test.go
+++ b/coord/routing/property_test.go
@@ -10,8 +10,8 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// TestNoAccountStarves floods a full service from some accounts; an account that asks for
-// one request at a time must be served within one round of the accounts' weights.
+// TestNoAccountStarves floods a saturated service from some accounts. An account that
+// submits one request at a time must be served within two rounds of the accounts' weights.
 func TestNoAccountStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		floods := rapid.IntRange(1, 5).Draw(t, "floods")
@@ -22,7 +22,7 @@
 		for _, name := range names {
 			weights[name] = weight
 		}
-		b := newTestBalancer(Config{QueueLimit: 12, Weights: weights}, target(endpointA, 1, StandingOpen))
+		b := newTestBalancer(Config{QueueLimit: 12, AccountWeights: weights}, target(endpointA, 1, StateAvailable))
 		id, running, quiet := uint64(0), uint64(0), uint64(0)
 		submit := func(account fleet.Account) uint64 {
 			id++
@@ -50,25 +50,25 @@
 				submit("quiet")
 				waited = 0
 			}
-			d := dispatches(b.Finish(testStart, running, 1, AttemptAnswered, time.Millisecond))
+			d := dispatches(b.Finish(testStart, running, 1, AttemptSucceeded, time.Millisecond))
 			running = d[0].ID
 			waited++
 			if running == quiet {
 				quiet = 0
 			}
 			if bound := 2 * (floods*weight + 1); waited > bound {
-				t.Fatalf("the quiet account has waited for %d others, bound %d", waited, bound)
+				t.Fatalf("the quiet account has waited for %d requests of others, bound %d", waited, bound)
 			}
 		}
 	})
 }
 
-// TestFairQueueKeepsEveryRequest compares the queue with a plain list.
+// TestFairQueueKeepsEveryRequest checks the queue against a plain list.
 func TestFairQueueKeepsEveryRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newFairQueue()
 		var waiting []*request
-		forget := func(r *request) {
+		drop := func(r *request) {
 			waiting = slices.DeleteFunc(waiting, func(w *request) bool { return w == r })
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -78,9 +78,9 @@
 				waiting = append(waiting, r)
 			},
 			"serve": func(*rapid.T) {
-				if r := q.next(); r != nil {
-					q.served(r)
-					forget(r)
+				if r := q.peek(); r != nil {
+					q.dequeue(r)
+					drop(r)
 				}
 			},
 			"remove": func(t *rapid.T) {
@@ -89,62 +89,62 @@
 				}
 				r := rapid.SampledFrom(waiting).Draw(t, "request")
 				q.remove(r)
-				forget(r)
+				drop(r)
 			},
 			"": func(t *rapid.T) {
-				if q.count != len(waiting) || (q.next() == nil) != (len(waiting) == 0) {
-					t.Fatalf("the queue counts %d, %d wait", q.count, len(waiting))
+				if q.count != len(waiting) || (q.peek() == nil) != (len(waiting) == 0) {
+					t.Fatalf("the queue counts %d requests, want %d", q.count, len(waiting))
 				}
 				linked := 0
 				for _, a := range q.active {
-					for r := a.head; r != nil; r = r.after {
+					for r := a.head; r != nil; r = r.next {
 						linked++
 					}
 				}
 				if linked != len(waiting) {
-					t.Fatalf("the queue links %d, %d wait", linked, len(waiting))
+					t.Fatalf("the queue links %d requests, want %d", linked, len(waiting))
 				}
 			},
 		})
 	})
 }
 
-// TestLatencyQuantileIsWithinABucket compares the histogram with the sorted samples.
-func TestLatencyQuantileIsWithinABucket(t *testing.T) {
+// TestLatencyQuantileIsWithinOneBucket checks the histogram against the sorted samples.
+func TestLatencyQuantileIsWithinOneBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		micros := rapid.SliceOfN(rapid.Int64Range(0, int64(time.Hour/time.Microsecond)), latencyMinSamples, 200).Draw(t, "micros")
-		l := latencyWindowed{quantile: 0.95}
+		l := latencyHistogram{quantile: 0.95}
 		for _, m := range micros {
 			l.add(testStart, time.Duration(m)*time.Microsecond)
 		}
 		l.refresh()
 		slices.Sort(micros)
 		exact := time.Duration(micros[int(0.95*float64(len(micros)))]) * time.Microsecond
-		if l.upper <= exact || l.upper > exact+exact/8+time.Microsecond {
-			t.Fatalf("quantile %v, exact %v", l.upper, exact)
+		if l.upperQuantile <= exact || l.upperQuantile > exact+exact/8+time.Microsecond {
+			t.Fatalf("quantile %v, exact %v", l.upperQuantile, exact)
 		}
 	})
 }
 
-func TestLatencyForgetsOldWindows(t *testing.T) {
-	l := latencyWindowed{quantile: 0.95}
+func TestLatencyHistogramDropsOldWindows(t *testing.T) {
+	l := latencyHistogram{quantile: 0.95}
 	for range 100 {
 		l.add(testStart, time.Second)
 	}
 	for range 100 {
 		l.add(at(latencyWindow), time.Millisecond)
 	}
-	if l.upper < time.Second {
-		t.Fatalf("the former window is lost: %v", l.upper)
+	if l.upperQuantile < time.Second {
+		t.Fatalf("the previous window was dropped: quantile %v", l.upperQuantile)
 	}
 	for range 100 {
 		l.add(at(2*latencyWindow), time.Millisecond)
 	}
-	if l.upper > 2*time.Millisecond {
-		t.Fatalf("the window before the former is kept: %v", l.upper)
+	if l.upperQuantile > 2*time.Millisecond {
+		t.Fatalf("the window before the previous one was kept: quantile %v", l.upperQuantile)
 	}
 	l.rotate(at(10 * latencyWindow))
-	if l.samples() != 0 || l.upper != 0 {
-		t.Fatalf("after a gap %d samples are kept", l.samples())
+	if l.samples() != 0 || l.upperQuantile != 0 {
+		t.Fatalf("%d samples are left after a gap", l.samples())
 	}
 }
--- a/coord/routing/queue.go
+++ b/coord/routing/queue.go
@@ -2,33 +2,33 @@
 
 import "github.com/damaskcove/damaskcove/coord/fleet"
 
-// purgeMin is the least number of accounts at which idle ones are dropped.
+// purgeMin is the minimum of fairQueue.purgeAt.
 const purgeMin = 256
 
-// accountQueue holds the waiting requests of one account, oldest first.
+// accountQueue is the FIFO queue of one account's waiting requests.
 type accountQueue struct {
 	account     fleet.Account
 	weight      float64
 	head, tail  *request
 	count       int
-	virtualTime float64 // Virtual time at which its next request starts.
+	virtualTime float64 // Virtual start time of its next request.
 }
 
-// fairQueue serves the waiting requests of several accounts by weight
+// fairQueue orders the waiting requests of several accounts by weight
 // (start-time fair queueing).
 type fairQueue struct {
 	accounts    map[fleet.Account]*accountQueue
 	active      []*accountQueue // Accounts with waiting requests.
 	virtualTime float64
 	count       int
-	purgeAt     int // Number of accounts at which those that are not ahead are dropped.
+	purgeAt     int // Number of accounts above which purge runs.
 }
 
 func newFairQueue() fairQueue {
 	return fairQueue{accounts: make(map[fleet.Account]*accountQueue), purgeAt: purgeMin}
 }
 
-// push adds a request at its account's end.
+// push appends a request to its account's queue.
 func (q *fairQueue) push(r *request, weight float64) {
 	a := q.accounts[r.Account]
 	if a == nil {
@@ -41,12 +41,12 @@
 		q.active = append(q.active, a)
 	}
 	a.insert(r)
-	r.waitsIn = a
+	r.queuedIn = a
 	q.count++
 }
 
-// next returns the request to serve next, without removing it.
-func (q *fairQueue) next() *request {
+// peek returns the next request in fair order without removing it, or nil.
+func (q *fairQueue) peek() *request {
 	if len(q.active) == 0 {
 		return nil
 	}
@@ -59,27 +59,28 @@
 	return best.head
 }
 
-// served removes a request that gets an endpoint and charges its account.
-func (q *fairQueue) served(r *request) {
-	a := r.waitsIn
+// dequeue removes a request that was dispatched and charges its account.
+func (q *fairQueue) dequeue(r *request) {
+	a := r.queuedIn
 	q.virtualTime = max(q.virtualTime, a.virtualTime)
 	a.virtualTime += 1 / a.weight
 	q.remove(r)
 }
 
-// remove takes a request out without charging its account.
+// remove removes a request without charging its account.
 func (q *fairQueue) remove(r *request) {
-	a := r.waitsIn
+	a := r.queuedIn
 	a.unlink(r)
-	r.waitsIn = nil
+	r.queuedIn = nil
 	q.count--
 	if a.count == 0 {
 		q.deactivate(a)
 	}
 }
 
-// deactivate drops an account that has nothing waiting. Its virtual time is kept
-// while it is ahead of the queue's, so that leaving and coming back gains nothing.
+// deactivate removes an account without waiting requests from the active ones. Its
+// virtual time is kept while it is ahead of the queue's and other accounts are active,
+// so that an account gains nothing by letting its queue run empty.
 func (q *fairQueue) deactivate(a *accountQueue) {
 	for i := range q.active {
 		if q.active[i] == a {
@@ -100,40 +101,42 @@
 	}
 }
 
-// purge drops the accounts that have nothing waiting and are not ahead of the queue.
+// purge removes the accounts that have no waiting requests and whose virtual time is not
+// ahead of the queue's.
 func (q *fairQueue) purge() {
-	for name, a := range q.accounts {
+	for account, a := range q.accounts {
 		if a.count == 0 && a.virtualTime <= q.virtualTime {
-			delete(q.accounts, name)
+			delete(q.accounts, account)
 		}
 	}
 	q.purgeAt = 2*len(q.accounts) + purgeMin
 }
 
-// victim returns the request to shed when one of the given account arrives at a full
-// queue: the newest of the account with the greatest excess. It returns nil when that is
-// the arriving request. An account's only waiting request is shed for no other.
+// victim returns the request to shed when a request of the given account arrives at a
+// full queue: the newest request of the account with the largest excess, or nil when the
+// arriving request is the one to shed. An account's only waiting request is never shed
+// for another account's.
 func (q *fairQueue) victim(account fleet.Account, weight float64) *request {
-	var heaviest *accountQueue
+	var largest *accountQueue
 	for _, a := range q.active {
-		if heaviest == nil || a.excess() > heaviest.excess() {
-			heaviest = a
+		if largest == nil || a.excess() > largest.excess() {
+			largest = a
 		}
 	}
-	if heaviest == nil {
+	if largest == nil {
 		return nil
 	}
-	held := 0
+	queued := 0
 	if a := q.accounts[account]; a != nil {
-		held = a.count
+		queued = a.count
 	}
-	if float64(held)/weight >= heaviest.excess() {
+	if float64(queued)/weight >= largest.excess() {
 		return nil
 	}
-	return heaviest.tail
+	return largest.tail
 }
 
-// excess returns how much the account holds beyond one request, for its weight.
+// excess returns the number of waiting requests beyond the first, divided by the weight.
 func (a *accountQueue) excess() float64 {
 	return float64(a.count-1) / a.weight
 }
@@ -144,22 +147,22 @@
 		a.head, a.tail = r, r
 		return
 	}
-	r.before = a.tail
-	a.tail.after = r
+	r.prev = a.tail
+	a.tail.next = r
 	a.tail = r
 }
 
 func (a *accountQueue) unlink(r *request) {
 	a.count--
-	if r.before == nil {
-		a.head = r.after
+	if r.prev == nil {
+		a.head = r.next
 	} else {
-		r.before.after = r.after
+		r.prev.next = r.next
 	}
-	if r.after == nil {
-		a.tail = r.before
+	if r.next == nil {
+		a.tail = r.prev
 	} else {
-		r.after.before = r.before
+		r.next.prev = r.prev
 	}
-	r.before, r.after = nil, nil
+	r.prev, r.next = nil, nil
 }
--- a/coord/routing/request.go
+++ b/coord/routing/request.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// attempt is one attempt of a request.
 type attempt struct {
 	endpoint *endpoint
-	result   AttemptResult // Zero while it runs.
+	result   AttemptResult // Zero while it is running.
 	hedge    bool
 	trial    bool
-	canceled bool // CancelAttempt was returned for it.
+	canceled bool // A CancelAttempt effect was issued.
 }
 
 func (a *attempt) running() bool { return a.result == 0 }
 
-// neverRan reports whether the upstream is known not to have started the request.
+// neverRan reports whether the upstream is known not to have run the request.
 func (r AttemptResult) neverRan() bool {
 	return r == AttemptNotSent || r == AttemptRefused
 }
 
-// worth orders results by what they tell the caller.
-func (r AttemptResult) worth() int {
+// precedence ranks results for delivery to the caller: of several attempts, the one with
+// the most informative result has the highest precedence and is delivered.
+func (r AttemptResult) precedence() int {
 	switch r {
-	case AttemptAnswered:
+	case AttemptSucceeded:
 		return 5
-	case AttemptFailed:
+	case AttemptServerError:
 		return 4
-	case AttemptBroken, AttemptCancelled:
+	case AttemptIncomplete, AttemptCancelled:
 		return 3
 	case AttemptRefused:
 		return 2
@@ -34,25 +34,25 @@
 	}
 }
 
-// request is a request that has not ended, or that has ended with attempts still under way.
+// request is a request that has not ended, or has ended with attempts still running.
 type request struct {
 	Request
 	attempts []attempt
 	running  int
-	ended    bool // Deliver was returned; attempts are still under way.
-	stopped  bool // Its caller is gone or its deadline has passed: nothing more is sent.
+	ended    bool // A Deliver effect was issued, but attempts are still running.
+	stopped  bool // Its caller disconnected or its deadline passed: no further attempt is sent.
 	hedgeAt  time.Time
 
-	waitsIn       *accountQueue // Nil unless it waits for its first attempt.
-	waitsToRetry  bool
-	before, after *request // Neighbors in the account's queue.
+	queuedIn      *accountQueue // Queue in which it waits for its first attempt, or nil.
+	awaitingRetry bool
+	prev, next    *request // Links in queuedIn.
 
 	wakeAt    time.Time
 	wakeIndex int // Position in the wake heap; -1 when absent.
 }
 
-// waits reports whether the request waits for an endpoint.
-func (r *request) waits() bool { return r.waitsIn != nil || r.waitsToRetry }
+// isWaiting reports whether the request waits for an endpoint.
+func (r *request) isWaiting() bool { return r.queuedIn != nil || r.awaitingRetry }
 
 // tried reports whether an attempt of the request went to e.
 func (r *request) tried(e *endpoint) bool {
@@ -64,7 +64,7 @@
 	return false
 }
 
-// neverRan reports whether no attempt of the request can have run.
+// neverRan reports whether the request is known not to have run in any attempt.
 func (r *request) neverRan() bool {
 	for i := range r.attempts {
 		if !r.attempts[i].result.neverRan() {
@@ -74,14 +74,15 @@
 	return true
 }
 
-// best returns the number of the finished attempt that tells the caller most.
-func (r *request) best() int {
+// bestAttempt returns the number of the ended attempt whose result has the highest
+// precedence; 0 when no attempt has ended.
+func (r *request) bestAttempt() int {
 	best := 0
 	for i := range r.attempts {
 		if r.attempts[i].running() {
 			continue
 		}
-		if best == 0 || r.attempts[i].result.worth() > r.attempts[best-1].result.worth() {
+		if best == 0 || r.attempts[i].result.precedence() > r.attempts[best-1].result.precedence() {
 			best = i + 1
 		}
 	}
--- a/coord/routing/running.go
+++ b/coord/routing/running.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Finish says how an attempt ended. An attempt that is unknown or has ended is ignored.
+// Finish records the result and the latency of an attempt. It ignores an attempt that is
+// unknown or has already ended.
 func (b *Balancer) Finish(now time.Time, id uint64, number int, result AttemptResult, latency time.Duration) []Effect {
 	r := b.requests[id]
 	if r == nil || number < 1 || number > len(r.attempts) {
@@ -14,48 +15,50 @@
 	}
 	a.result = result
 	r.running--
-	b.record(now, r, a, latency)
+	b.recordResult(now, r, a, latency)
 	switch {
 	case !r.ended:
-		b.settle(now, r, number)
+		b.handleResult(now, r, number)
 	case r.running == 0:
 		b.release(r)
 	}
-	b.pump(now)
+	b.dispatchWaiting(now)
 	return b.takeEffects()
 }
 
-// record frees the attempt's slot and keeps what it tells of the endpoint.
-func (b *Balancer) record(now time.Time, r *request, a *attempt, latency time.Duration) {
+// recordResult frees the attempt's slot and updates the endpoint's latency or failures.
+func (b *Balancer) recordResult(now time.Time, r *request, a *attempt, latency time.Duration) {
 	e := a.endpoint
 	e.outstanding--
 	switch a.result {
-	case AttemptAnswered:
-		b.learn(now, e, latency)
+	case AttemptSucceeded:
+		b.recordLatency(now, e, latency)
 	case AttemptCancelled:
-		// An attempt that lost to its hedge took at least this long; without it
-		// the quantile would drift down as hedges hide the slow tail.
+		// An attempt that was cancelled because its hedge ended first took at least
+		// this long. Without these samples the hedge quantile would drift down, as
+		// hedges cut off the slow tail.
 		if r.ended && !a.hedge {
-			b.learn(now, e, latency)
+			b.recordLatency(now, e, latency)
 		}
 	default:
-		e.failed(now)
+		e.recordFailure(now)
 	}
 	if !e.listed && e.outstanding == 0 {
-		b.forget(e)
+		b.removeEndpoint(e)
 	}
 }
 
-// learn takes the latency of an attempt.
-func (b *Balancer) learn(now time.Time, e *endpoint, latency time.Duration) {
+// recordLatency adds a latency to the histogram and to the means of e and of all endpoints.
+func (b *Balancer) recordLatency(now time.Time, e *endpoint, latency time.Duration) {
 	b.latencies.add(now, latency)
-	b.latency.add(now, latency, slownessPeerStep)
-	e.latency.add(now, latency, slownessOwnStep)
+	b.meanLatency.add(now, latency, overallMeanWeight)
+	e.meanLatency.add(now, latency, endpointMeanWeight)
 }
 
-// settle decides what follows the end of an attempt of a request that has not ended.
-func (b *Balancer) settle(now time.Time, r *request, number int) {
-	if r.attempts[number-1].result == AttemptAnswered {
+// handleResult delivers, retries or keeps waiting for other attempts after an attempt of
+// a request that has not ended.
+func (b *Balancer) handleResult(now time.Time, r *request, number int) {
+	if r.attempts[number-1].result == AttemptSucceeded {
 		b.deliver(r, number)
 		return
 	}
@@ -63,11 +66,12 @@
 		return
 	}
 	if !b.retry(now, r) {
-		b.deliver(r, r.best())
+		b.deliver(r, r.bestAttempt())
 	}
 }
 
-// retry sends r to another endpoint, or lets it wait for one, and reports whether it did.
+// retry sends r to another endpoint or queues it for one. It reports false when r may not
+// be retried.
 func (b *Balancer) retry(now time.Time, r *request) bool {
 	if !b.mayRetry(now, r) || !b.budget.take() {
 		return false
@@ -77,7 +81,7 @@
 		return true
 	}
 	if b.waiting() < b.queueBound() {
-		r.waitsToRetry = true
+		r.awaitingRetry = true
 		b.retries = append(b.retries, r)
 		b.scheduleWaiting(now, r)
 		return true
@@ -87,7 +91,7 @@
 }
 
 func (b *Balancer) mayRetry(now time.Time, r *request) bool {
-	if r.stopped || len(r.attempts) >= b.cfg.MaxAttempts || b.hopeless(now, r) {
+	if r.stopped || len(r.attempts) >= b.cfg.MaxAttempts || b.cannotMeetDeadline(now, r) {
 		return false
 	}
 	if !r.Idempotent && !r.neverRan() {
@@ -96,8 +100,8 @@
 	return b.anyUntried(r)
 }
 
-// deliver ends r with the outcome of one attempt and cancels the others. Attempts on
-// trial run on, so that the endpoint's true latency is learned.
+// deliver ends r with the outcome of one attempt and cancels the others, except trial
+// attempts: they run on, so that the endpoint's real latency is measured.
 func (b *Balancer) deliver(r *request, number int) {
 	b.effects = append(b.effects, Deliver{ID: r.ID, Attempt: number})
 	r.ended = true
@@ -110,11 +114,11 @@
 	b.wakes.set(r, r.Deadline)
 }
 
-// cancelRunning cancels the attempts under way, those on trial only when asked to.
-func (b *Balancer) cancelRunning(r *request, trials bool) {
+// cancelRunning cancels the running attempts of r; trial attempts only if includeTrials.
+func (b *Balancer) cancelRunning(r *request, includeTrials bool) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if !a.running() || a.canceled || (a.trial && !trials) {
+		if !a.running() || a.canceled || (a.trial && !includeTrials) {
 			continue
 		}
 		a.canceled = true
@@ -122,12 +126,13 @@
 	}
 }
 
-// wake looks at a request whose wake time has come.
-func (b *Balancer) wake(now time.Time, r *request) {
+// handleWake handles a request whose wake time has come: it sheds a waiting request that
+// cannot meet its deadline, cancels attempts at the deadline, or starts a hedge.
+func (b *Balancer) handleWake(now time.Time, r *request) {
 	switch {
-	case r.waits() && b.hopeless(now, r):
+	case r.isWaiting() && b.cannotMeetDeadline(now, r):
 		b.shed(r, RejectDeadline)
-	case r.waits():
+	case r.isWaiting():
 		b.scheduleWaiting(now, r)
 	case !now.Before(r.Deadline):
 		r.stopped = true
@@ -138,11 +143,12 @@
 	}
 }
 
-// hedge sends a second attempt of r when the budget and a free slot allow it.
+// hedge sends a second attempt of r if another endpoint has a free slot and the retry
+// budget allows it, unless requests wait for slots.
 func (b *Balancer) hedge(now time.Time, r *request) {
 	r.hedgeAt = time.Time{}
 	b.scheduleRunning(r)
-	if r.running != 1 || r.stopped || r.ended || b.waiting() > 0 || b.hopeless(now, r) {
+	if r.running != 1 || r.stopped || r.ended || b.waiting() > 0 || b.cannotMeetDeadline(now, r) {
 		return
 	}
 	if len(r.attempts) >= b.cfg.MaxAttempts {
--- a/coord/routing/selection.go
+++ b/coord/routing/selection.go
@@ -6,12 +6,12 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// zoneMargin is how much lower another zone's score must be to be preferred over a
-// near choice whose utilization is above Config.ZoneSpill.
+// zoneMargin is how much lower the score of an endpoint in another zone must be to be
+// chosen when the score in this zone is above Config.ZoneSpillThreshold.
 const zoneMargin = 0.1
 
-// SetTargets replaces the service's endpoints. Attempts under way on removed
-// endpoints run on. Requests that wait are rejected when no endpoint takes work.
+// SetTargets replaces the service's endpoints. Running attempts on removed endpoints run
+// on. Waiting requests are rejected when no endpoint is usable.
 func (b *Balancer) SetTargets(now time.Time, targets []Target) []Effect {
 	for _, e := range b.endpoints {
 		e.listed = false
@@ -21,26 +21,26 @@
 	}
 	for i := len(b.endpoints) - 1; i >= 0; i-- {
 		if e := b.endpoints[i]; !e.listed && e.outstanding == 0 {
-			b.forget(e)
+			b.removeEndpoint(e)
 		}
 	}
 	return b.targetsChanged(now)
 }
 
-// Leave stops new work to an endpoint at once, until SetTargets gives it another standing.
-func (b *Balancer) Leave(now time.Time, name fleet.Endpoint) []Effect {
-	e := b.byName[name]
+// MarkLeaving sets an endpoint to StateLeaving until the next SetTargets that lists it.
+func (b *Balancer) MarkLeaving(now time.Time, address fleet.Endpoint) []Effect {
+	e := b.byAddress[address]
 	if e == nil {
 		return nil
 	}
-	e.target.Standing = StandingLeaving
+	e.target.State = StateLeaving
 	return b.targetsChanged(now)
 }
 
-// SetLoad takes a load, 0 to 1, that an endpoint reported just now.
-func (b *Balancer) SetLoad(now time.Time, name fleet.Endpoint, load float64) {
-	if e := b.byName[name]; e != nil {
-		e.reported(load, now)
+// SetLoad records a load, 0 to 1, that an endpoint has just reported.
+func (b *Balancer) SetLoad(now time.Time, address fleet.Endpoint, load float64) {
+	if e := b.byAddress[address]; e != nil {
+		e.setLoad(load, now)
 	}
 }
 
@@ -48,25 +48,25 @@
 	if !b.anyUsable() {
 		b.rejectWaiting(now, RejectNoEndpoint)
 	}
-	b.pump(now)
+	b.dispatchWaiting(now)
 	return b.takeEffects()
 }
 
 func (b *Balancer) setTarget(now time.Time, t Target) {
-	name := t.Upstream.Endpoint
-	e := b.byName[name]
+	address := t.Upstream.Endpoint
+	e := b.byAddress[address]
 	known := e != nil
 	if !known {
 		e = &endpoint{}
-		b.byName[name] = e
+		b.byAddress[address] = e
 		b.endpoints = append(b.endpoints, e)
 	}
 	e.update(now, t, known)
 }
 
-// forget drops the record of an endpoint that is not listed and has nothing under way.
-func (b *Balancer) forget(e *endpoint) {
-	delete(b.byName, e.name())
+// removeEndpoint removes an endpoint that is not listed and has no running attempt.
+func (b *Balancer) removeEndpoint(e *endpoint) {
+	delete(b.byAddress, e.address())
 	for i := range b.endpoints {
 		if b.endpoints[i] == e {
 			b.endpoints = append(b.endpoints[:i], b.endpoints[i+1:]...)
@@ -79,7 +79,7 @@
 	return e.outstanding < e.limit(now, b.cfg.SlowStart)
 }
 
-// anyUsable reports whether some endpoint may take ordinary work when it has a free slot.
+// anyUsable reports whether any endpoint may take ordinary requests when it has a free slot.
 func (b *Balancer) anyUsable() bool {
 	for _, e := range b.endpoints {
 		if e.usable() && e.target.Limit > 0 {
@@ -89,7 +89,7 @@
 	return false
 }
 
-// anyUntried reports whether some usable endpoint has had no attempt of r.
+// anyUntried reports whether r has not been sent to some usable endpoint.
 func (b *Balancer) anyUntried(r *request) bool {
 	for _, e := range b.endpoints {
 		if e.usable() && e.target.Limit > 0 && !r.tried(e) {
@@ -99,16 +99,16 @@
 	return false
 }
 
-func (b *Balancer) anyRamping(now time.Time) bool {
+func (b *Balancer) anyInSlowStart(now time.Time) bool {
 	for _, e := range b.endpoints {
-		if e.usable() && e.ramp(now, b.cfg.SlowStart) < 1 {
+		if e.usable() && e.slowStartProgress(now, b.cfg.SlowStart) < 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// candidates implements Candidates for a set of the balancer's endpoints.
+// candidates implements Candidates for a subset of the balancer's endpoints.
 type candidates struct {
 	balancer  *Balancer
 	now       time.Time
@@ -119,14 +119,14 @@
 func (c *candidates) Len() int { return len(c.endpoints) }
 
 // Endpoint implements Candidates.
-func (c *candidates) Endpoint(i int) fleet.Endpoint { return c.endpoints[i].name() }
+func (c *candidates) Endpoint(i int) fleet.Endpoint { return c.endpoints[i].address() }
 
 // Outstanding implements Candidates.
 func (c *candidates) Outstanding(i int) int { return c.endpoints[i].outstanding }
 
 // Score implements Candidates.
 func (c *candidates) Score(i int) float64 {
-	return c.endpoints[i].score(c.now, c.balancer.cfg.SlowStart, &c.balancer.latency)
+	return c.endpoints[i].score(c.now, c.balancer.cfg.SlowStart, &c.balancer.meanLatency)
 }
 
 func (c *candidates) reset(b *Balancer, now time.Time) {
@@ -135,7 +135,7 @@
 	c.endpoints = c.endpoints[:0]
 }
 
-// pick returns the policy's choice; nil when there is no candidate.
+// pick returns the endpoint that the policy selects; nil when there is no candidate.
 func (c *candidates) pick() *endpoint {
 	if len(c.endpoints) == 0 {
 		return nil
@@ -144,40 +144,41 @@
 }
 
 // choose returns an endpoint with a free slot that r has not been sent to, or nil.
-// Another zone is used when this one has no free slot, or when its choice is above
-// ZoneSpill and the other's is lower by zoneMargin.
+// It chooses another zone when this zone has no such endpoint, or when the score of the
+// endpoint selected here is above ZoneSpillThreshold and the score of the one selected
+// elsewhere is lower by more than zoneMargin.
 func (b *Balancer) choose(now time.Time, r *request) *endpoint {
 	b.collect(now, r)
-	near := b.near.pick()
-	if near == nil {
-		return b.far.pick()
+	local := b.sameZone.pick()
+	if local == nil {
+		return b.otherZones.pick()
 	}
-	if b.far.Len() == 0 {
-		return near
+	if b.otherZones.Len() == 0 {
+		return local
 	}
-	cost := near.score(now, b.cfg.SlowStart, &b.latency)
-	if cost <= b.cfg.ZoneSpill {
-		return near
+	localScore := local.score(now, b.cfg.SlowStart, &b.meanLatency)
+	if localScore <= b.cfg.ZoneSpillThreshold {
+		return local
 	}
-	far := b.far.pick()
-	if far.score(now, b.cfg.SlowStart, &b.latency)+zoneMargin < cost {
-		return far
+	remote := b.otherZones.pick()
+	if remote.score(now, b.cfg.SlowStart, &b.meanLatency)+zoneMargin < localScore {
+		return remote
 	}
-	return near
+	return local
 }
 
-// collect gathers the candidates for r, apart for this instance's zone and for others.
+// collect fills sameZone and otherZones with the candidates for r.
 func (b *Balancer) collect(now time.Time, r *request) {
-	b.near.reset(b, now)
-	b.far.reset(b, now)
+	b.sameZone.reset(b, now)
+	b.otherZones.reset(b, now)
 	for _, e := range b.endpoints {
 		if !e.usable() || e.outstanding >= e.limit(now, b.cfg.SlowStart) || r.tried(e) {
 			continue
 		}
 		if b.cfg.Zone == "" || e.target.Upstream.Zone == b.cfg.Zone {
-			b.near.endpoints = append(b.near.endpoints, e)
+			b.sameZone.endpoints = append(b.sameZone.endpoints, e)
 		} else {
-			b.far.endpoints = append(b.far.endpoints, e)
+			b.otherZones.endpoints = append(b.otherZones.endpoints, e)
 		}
 	}
 }
--- a/coord/routing/slowness.go
+++ b/coord/routing/slowness.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	slownessOwnStep    = 0.1             // Weight of a new latency in an endpoint's mean.
-	slownessPeerStep   = 0.01            // Weight of a new latency in the mean over all endpoints.
-	slownessMin        = 0.5             // Excess over the mean of all that is ignored.
-	slownessMax        = 8.0             // Bound of the excess counted.
-	slownessHalfLife   = 5 * time.Second // Time without an answer after which the excess counts half.
-	slownessMinSamples = 5               // Answers of an endpoint before its mean counts.
+	endpointMeanWeight = 0.1             // Minimum weight of a new sample in an endpoint's mean.
+	overallMeanWeight  = 0.01            // Minimum weight of a new sample in the mean over all endpoints.
+	slownessMin        = 0.5             // Excess below which an endpoint does not count as slow.
+	slownessMax        = 8.0             // Maximum excess counted.
+	slownessHalfLife   = 5 * time.Second // Time without a sample after which the weight of the excess has halved.
+	slownessMinSamples = 5               // Samples of an endpoint before its mean counts.
 )
 
-// latencyMean is an exponentially weighted mean of latencies.
+// latencyMean is an exponentially weighted moving average of latencies.
 type latencyMean struct {
-	mean    float64 // In nanoseconds.
-	samples int
-	at      time.Time // Of the last sample.
+	mean         float64 // In nanoseconds.
+	samples      int
+	lastSampleAt time.Time
 }
 
-// add takes one latency.
-func (m *latencyMean) add(now time.Time, latency time.Duration, step float64) {
+// add adds a sample. The first 1/minWeight samples count equally, later ones with minWeight.
+func (m *latencyMean) add(now time.Time, latency time.Duration, minWeight float64) {
 	m.samples++
-	weight := max(step, 1/float64(m.samples))
+	weight := max(minWeight, 1/float64(m.samples))
 	m.mean += weight * (float64(latency) - m.mean)
-	m.at = now
+	m.lastSampleAt = now
 }
 
-// excess returns by how many times the mean of all an endpoint's mean is above it. An
-// endpoint without late answers is tried again as the excess fades.
+// excess returns how far an endpoint's mean m is above the mean over all endpoints, as a
+// multiple of the latter: 1 when m is twice as high. It decays while there are no samples,
+// so that a slow endpoint which gets no requests is tried again.
 func (m *latencyMean) excess(now time.Time, all *latencyMean) float64 {
 	if m.samples < slownessMinSamples || all.mean <= 0 {
 		return 0
@@ -36,5 +37,5 @@
 	if excess < slownessMin {
 		return 0
 	}
-	return min(excess, slownessMax) * decay(now.Sub(m.at), slownessHalfLife)
+	return min(excess, slownessMax) * decay(now.Sub(m.lastSampleAt), slownessHalfLife)
 }
--- a/coord/routing/waiting.go
+++ b/coord/routing/waiting.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// The queue holds at most queuePerSlot requests per slot of this instance, so that the
-// wait stays short where its share is small, but always as many as queueLeast.
+// The queue holds at most queuePerSlot requests per slot of this instance, so that
+// waiting times stay short where the instance has few slots, but at least queueMin.
 const (
 	queuePerSlot = 4
-	queueLeast   = 16
+	queueMin     = 16
 )
 
-// queueBound returns how many requests may wait now.
+// queueBound returns the maximum number of waiting requests.
 func (b *Balancer) queueBound() int {
 	slots := 0
 	for _, e := range b.endpoints {
@@ -20,19 +20,19 @@
 			slots += e.target.Limit
 		}
 	}
-	return min(b.cfg.QueueLimit, max(queuePerSlot*slots, queueLeast))
+	return min(b.cfg.QueueLimit, max(queuePerSlot*slots, queueMin))
 }
 
-// waiting returns how many requests wait for an endpoint.
+// waiting returns the number of requests that wait for an endpoint.
 func (b *Balancer) waiting() int { return b.queue.count + len(b.retries) }
 
-// wait puts r in the queue, or sheds a request when the queue is full.
-func (b *Balancer) wait(now time.Time, r *request) {
+// enqueue adds r to the queue. When the queue is full, it sheds r or another request.
+func (b *Balancer) enqueue(now time.Time, r *request) {
 	weight := b.cfg.weight(r.Account)
 	if b.waiting() >= b.queueBound() {
 		victim := b.queue.victim(r.Account, weight)
 		if victim == nil {
-			b.end(r, RejectQueueFull)
+			b.deliverOrReject(r, RejectQueueFull)
 			return
 		}
 		b.shed(victim, RejectQueueFull)
@@ -41,7 +41,8 @@
 	b.scheduleWaiting(now, r)
 }
 
-// scheduleWaiting sets the wake of a request that waits.
+// scheduleWaiting sets the wake time of a waiting request: the time from which an
+// attempt of median latency would miss the deadline.
 func (b *Balancer) scheduleWaiting(now time.Time, r *request) {
 	at := r.Deadline.Add(-b.latencies.median)
 	if at.Before(now) {
@@ -50,30 +51,32 @@
 	b.wakes.set(r, at)
 }
 
-// hopeless reports whether an attempt that starts now is unlikely to end by the deadline.
-func (b *Balancer) hopeless(now time.Time, r *request) bool {
+// cannotMeetDeadline reports whether an attempt of median latency that starts now would
+// not end before the deadline.
+func (b *Balancer) cannotMeetDeadline(now time.Time, r *request) bool {
 	return !now.Add(b.latencies.median).Before(r.Deadline)
 }
 
-// shed takes r out of the queue and ends it.
+// shed removes a waiting request from its queue and ends it.
 func (b *Balancer) shed(r *request, reason RejectReason) {
-	if r.waitsToRetry {
-		b.leaveRetries(r)
+	if r.awaitingRetry {
+		b.dequeueRetry(r)
 	} else {
 		b.queue.remove(r)
 	}
-	b.end(r, reason)
+	b.deliverOrReject(r, reason)
 }
 
-func (b *Balancer) leaveRetries(r *request) {
-	r.waitsToRetry = false
+func (b *Balancer) dequeueRetry(r *request) {
+	r.awaitingRetry = false
 	i := slices.Index(b.retries, r)
 	b.retries = slices.Delete(b.retries, i, i+1)
 }
 
-// end ends a request with nothing under way: with what an earlier attempt told, if there was one.
-func (b *Balancer) end(r *request, reason RejectReason) {
-	if best := r.best(); best > 0 {
+// deliverOrReject ends a request without running attempts: with the outcome of an earlier
+// attempt if there was one, otherwise with Reject.
+func (b *Balancer) deliverOrReject(r *request, reason RejectReason) {
+	if best := r.bestAttempt(); best > 0 {
 		b.deliver(r, best)
 		return
 	}
@@ -81,32 +84,32 @@
 	b.release(r)
 }
 
-// pump gives free slots to the requests that wait: first to retries, which the budget
-// bounds, then to the others in fair order.
-func (b *Balancer) pump(now time.Time) {
-	b.pumpRetries(now)
+// dispatchWaiting dispatches waiting requests to free slots: first the retries, whose number
+// the retry budget limits, then the others in fair order.
+func (b *Balancer) dispatchWaiting(now time.Time) {
+	b.dispatchRetries(now)
 	for {
-		r := b.queue.next()
+		r := b.queue.peek()
 		if r == nil {
 			return
 		}
-		if b.hopeless(now, r) {
+		if b.cannotMeetDeadline(now, r) {
 			b.shed(r, RejectDeadline)
 			continue
 		}
 		if !b.start(now, r) {
 			return
 		}
-		b.queue.served(r)
+		b.queue.dequeue(r)
 	}
 }
 
-// pumpRetries sends the retries that wait and whose deadline leaves time. One for which
-// every endpoint that it has not tried is gone ends.
-func (b *Balancer) pumpRetries(now time.Time) {
+// dispatchRetries dispatches waiting retries. It ends those that cannot meet their deadline
+// or have been sent to every usable endpoint.
+func (b *Balancer) dispatchRetries(now time.Time) {
 	for i := 0; i < len(b.retries); {
 		r := b.retries[i]
-		if b.hopeless(now, r) || !b.anyUntried(r) {
+		if b.cannotMeetDeadline(now, r) || !b.anyUntried(r) {
 			b.shed(r, RejectDeadline)
 			continue
 		}
@@ -115,17 +118,17 @@
 			i++
 			continue
 		}
-		b.leaveRetries(r)
+		b.dequeueRetry(r)
 		b.dispatch(now, r, e, false)
 	}
 }
 
-// rejectWaiting ends every request that waits.
+// rejectWaiting ends every waiting request.
 func (b *Balancer) rejectWaiting(now time.Time, reason RejectReason) {
 	for len(b.retries) > 0 {
 		b.shed(b.retries[0], reason)
 	}
-	for r := b.queue.next(); r != nil; r = b.queue.next() {
+	for r := b.queue.peek(); r != nil; r = b.queue.peek() {
 		b.shed(r, reason)
 	}
 }
--- a/coord/routing/wake.go
+++ b/coord/routing/wake.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// wakeHeap orders requests by the time at which Tick must look at them.
+// wakeHeap is a min-heap of requests by the time at which Tick must handle them.
 type wakeHeap []*request
 
 // Len implements heap.Interface.
@@ -38,7 +38,7 @@
 	return r
 }
 
-// set makes r wake at the given time.
+// set sets the wake time of r and adds r if it is absent.
 func (h *wakeHeap) set(r *request, at time.Time) {
 	r.wakeAt = at
 	if r.wakeIndex < 0 {
@@ -48,7 +48,7 @@
 	heap.Fix(h, r.wakeIndex)
 }
 
-// clear removes r.
+// clear removes r if it is present.
 func (h *wakeHeap) clear(r *request) {
 	if r.wakeIndex >= 0 {
 		heap.Remove(h, r.wakeIndex)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -108,9 +108,9 @@
 		o.answer = exchange.Refusal(result.CodeUpstreamRefused, "Endpoint "+string(endpoint)+".")
 		return o
 	}
-	o.result = routing.AttemptAnswered
+	o.result = routing.AttemptSucceeded
 	if status >= fasthttp.StatusInternalServerError {
-		o.result = routing.AttemptFailed
+		o.result = routing.AttemptServerError
 		o.blames = true
 	}
 	o.answer = exchange.Answer{
@@ -174,7 +174,7 @@
 		text += ": " + detail
 	}
 	return outcome{
-		result: routing.AttemptBroken,
+		result: routing.AttemptIncomplete,
 		answer: exchange.Refusal(code, text+"."),
 		blames: blames,
 	}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -287,7 +287,7 @@
 	sound := newRawUpstream(t, always(ok("sound")))
 	r := newRecorder()
 	targets := targetsOf(2, trial.endpoint(), sound.endpoint())
-	targets[0].Standing = routing.StandingTrial
+	targets[0].State = routing.StateTrial
 	d := testDispatcher(t, r, targets)
 	if a := d.Execute(context.Background(), get("/")); string(a.Body) != "sound" {
 		t.Fatalf("answer %+v", a)
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -97,7 +97,7 @@
 	}
 	if o.leaving {
 		s.leavingUntil[e.Endpoint] = now.Add(s.settings.LeavingHold)
-		s.apply(now, s.balancer.Leave(now, e.Endpoint))
+		s.apply(now, s.balancer.MarkLeaving(now, e.Endpoint))
 	}
 	s.apply(now, s.balancer.Finish(now, e.ID, e.Attempt, o.result, o.latency))
 	s.forget(e.ID, c)
@@ -127,9 +127,9 @@
 // cancelled because its hedge answered first does: it took at least that long.
 func observable(e routing.Dispatch, o outcome, lost bool) bool {
 	switch o.result {
-	case routing.AttemptAnswered, routing.AttemptFailed:
+	case routing.AttemptSucceeded, routing.AttemptServerError:
 		return true
-	case routing.AttemptBroken, routing.AttemptNotSent:
+	case routing.AttemptIncomplete, routing.AttemptNotSent:
 		return o.blames
 	case routing.AttemptCancelled:
 		return lost && !e.Hedge
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -138,7 +138,7 @@
 	marked := append([]routing.Target(nil), targets...)
 	for i := range marked {
 		if _, leaving := s.leavingUntil[marked[i].Upstream.Endpoint]; leaving {
-			marked[i].Standing = routing.StandingLeaving
+			marked[i].State = routing.StateLeaving
 		}
 	}
 	return marked
--- a/internal/endpoints/duty_test.go
+++ b/internal/endpoints/duty_test.go
@@ -148,26 +148,26 @@
 func (node *testNode) request(failing fleet.Endpoint) {
 	for _, target := range node.targets {
 		e := target.Upstream.Endpoint
-		if target.Standing == routing.StandingOpen || target.Standing == routing.StandingTrial {
+		if target.State == routing.StateAvailable || target.State == routing.StateTrial {
 			node.duty.Observe(catalogue, health.Attempt{
 				Endpoint: e,
 				Failed:   e == failing,
 				Latency:  40 * time.Millisecond,
-				Trial:    target.Standing == routing.StandingTrial,
+				Trial:    target.State == routing.StateTrial,
 			})
 		}
 	}
 }
 
 // standings returns how many nodes have an endpoint in a standing, out of those that may use it.
-func (n *network) standings(e fleet.Endpoint, want routing.Standing) (count, of int) {
+func (n *network) standings(e fleet.Endpoint, want routing.EndpointState) (count, of int) {
 	for _, node := range n.nodes {
 		for _, target := range node.targets {
 			if target.Upstream.Endpoint != e {
 				continue
 			}
 			of++
-			if target.Standing == want {
+			if target.State == want {
 				count++
 			}
 		}
@@ -179,10 +179,10 @@
 	n := newNetwork(t, 6, 7)
 	n.run(10*time.Second, "")
 	n.run(5*time.Second, "10.0.0.3:80")
-	if out, of := n.standings("10.0.0.3:80", routing.StandingAvoided); out != of || of == 0 {
+	if out, of := n.standings("10.0.0.3:80", routing.StateExcluded); out != of || of == 0 {
 		t.Fatalf("failing endpoint is out at %d of %d instances", out, of)
 	}
-	if open, of := n.standings("10.0.0.2:80", routing.StandingOpen); open != of || of == 0 {
+	if open, of := n.standings("10.0.0.2:80", routing.StateAvailable); open != of || of == 0 {
 		t.Fatalf("healthy endpoint is in service at %d of %d instances", open, of)
 	}
 	status := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}].duty.Status()
@@ -199,8 +199,8 @@
 	far.cut = true
 	n.run(health.DefaultConfig().Lease, "10.0.0.3:80")
 	for _, target := range far.targets {
-		if target.Standing != routing.StandingOpen {
-			t.Errorf("instance without contact has %s in standing %d, want open", target.Upstream.Endpoint, target.Standing)
+		if target.State != routing.StateAvailable {
+			t.Errorf("instance without contact has %s in standing %d, want open", target.Upstream.Endpoint, target.State)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	n.run(time.Second, "")
 	node := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}]
 	node.duty.Leaving(n.now, catalogue, "10.0.0.1:80")
-	if count, of := n.standings("10.0.0.1:80", routing.StandingLeaving); count != 1 || of != 1 {
+	if count, of := n.standings("10.0.0.1:80", routing.StateLeaving); count != 1 || of != 1 {
 		t.Fatalf("leaving upstream has that standing at %d of %d instances", count, of)
 	}
 }
@@ -244,7 +244,7 @@
 	n.restart()
 	const failing = fleet.Endpoint("10.0.0.3:80")
 	n.run(20*time.Second, failing)
-	if out, of := n.standings(failing, routing.StandingAvoided); out != of || of == 0 {
+	if out, of := n.standings(failing, routing.StateExcluded); out != of || of == 0 {
 		t.Errorf("%d of %d instances avoid a failing endpoint 20 s after all restarted, want all", out, of)
 	}
 }
--- a/internal/endpoints/targets.go
+++ b/internal/endpoints/targets.go
@@ -38,14 +38,14 @@
 	for i, v := range views {
 		standing := standingOf(s.upstreams[i].State, v.State)
 		limit := limits[i]
-		if standing == routing.StandingTrial {
+		if standing == routing.StateTrial {
 			limit = max(limit, 1)
 		}
 		if limit == 0 {
 			continue
 		}
-		usable = usable || standing == routing.StandingOpen
-		targets = append(targets, routing.Target{Upstream: s.upstreams[i], Standing: standing, Limit: limit})
+		usable = usable || standing == routing.StateAvailable
+		targets = append(targets, routing.Target{Upstream: s.upstreams[i], State: standing, Limit: limit})
 	}
 	if !usable {
 		return everyTarget(s.upstreams, views)
@@ -60,25 +60,25 @@
 	for i, v := range views {
 		targets = append(targets, routing.Target{
 			Upstream: upstreams[i],
-			Standing: standingOf(upstreams[i].State, v.State),
+			State:    standingOf(upstreams[i].State, v.State),
 			Limit:    1,
 		})
 	}
 	return targets
 }
 
-func standingOf(listed fleet.UpstreamState, view health.State) routing.Standing {
+func standingOf(listed fleet.UpstreamState, view health.State) routing.EndpointState {
 	switch {
 	case listed == fleet.UpstreamLeaving:
-		return routing.StandingLeaving
+		return routing.StateLeaving
 	case view == health.StateEjected || view == health.StateAvoided:
-		return routing.StandingAvoided
+		return routing.StateExcluded
 	case view == health.StateTrial:
-		return routing.StandingTrial
+		return routing.StateTrial
 	case listed == fleet.UpstreamCold:
-		return routing.StandingCold
+		return routing.StateCold
 	default:
-		return routing.StandingOpen
+		return routing.StateAvailable
 	}
 }
 
--- a/internal/measure/routing/run.go
+++ b/internal/measure/routing/run.go
@@ -265,7 +265,7 @@
 	submitted := b.submitted[d.ID]
 	delete(b.submitted, d.ID)
 	latency := b.now.Sub(submitted)
-	if b.results[attemptKey{d.ID, d.Attempt}] != routing.AttemptAnswered || latency > requestDeadline {
+	if b.results[attemptKey{d.ID, d.Attempt}] != routing.AttemptSucceeded || latency > requestDeadline {
 		return
 	}
 	b.good++
--- a/internal/measure/routing/upstream.go
+++ b/internal/measure/routing/upstream.go
@@ -56,9 +56,9 @@
 	if j.ended {
 		return
 	}
-	result := routing.AttemptAnswered
+	result := routing.AttemptSucceeded
 	if u.random.Float64() < u.failures {
-		result = routing.AttemptFailed
+		result = routing.AttemptServerError
 	}
 	j.end(result)
 	u.freeSlot()
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -39,7 +39,7 @@
 }
 
 func (c carriersOf) Judge(s fleet.Service) (fleet.Instance, bool) {
-	return c.alive.Judge(s)
+	return c.alive.Evaluator(s)
 }
 
 func (c carriersOf) Life(id fleet.InstanceID) (fleet.Incarnation, bool) {
@@ -131,9 +131,9 @@
 
 func (n *Node) routingConfig(t rollout.ServiceTemplate) routing.Config {
 	return routing.Config{
-		RetryShare: t.RetryShare,
-		Zone:       n.self.Zone,
-		Weights:    n.weights[t.Name],
+		RetryShare:     t.RetryShare,
+		Zone:           n.self.Zone,
+		AccountWeights: n.weights[t.Name],
 	}
 }
 
