--- a/coord/placement/bench_test.go
+++ b/coord/placement/bench_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// BenchmarkRemap builds a map and places every service, as after a change of the members.
+// BenchmarkRemap builds a map and computes the carriers and the evaluator of every service,
+// as after a membership change.
 func BenchmarkRemap(b *testing.B) {
 	for _, n := range []int{44, 202, 405, 810} {
 		all := instancesIn(n, 5)
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -21,16 +21,16 @@
 	nodes []node
 }
 
-// Map answers who does what among one set of instances.
+// Map is the placement of services and accounts on one set of instances.
 type Map struct {
-	nodes    []node // Sorted by ID.
-	zones    []zone // Sorted by name.
-	callers  map[fleet.Zone]float64
-	carriers sync.Map
-	judges   sync.Map
+	nodes        []node                 // Sorted by ID.
+	zones        []zone                 // Sorted by name.
+	callerShares map[fleet.Zone]float64 // Share of all callers in each zone; nil for equal shares.
+	carriers     sync.Map               // Cache: carriersKey to *carrierSet.
+	evaluators   sync.Map               // Cache: fleet.Service to fleet.Instance.
 }
 
-// carriersKey names one cached answer of Carriers.
+// carriersKey is the key of a cached carrierSet.
 type carriersKey struct {
 	service fleet.Service
 	count   int
@@ -43,8 +43,8 @@
 	perZone   map[fleet.Zone]int
 }
 
-// NewMap returns the map of the instances that are alive and not leaving. Of several
-// incarnations of one ID it takes the highest.
+// NewMap returns the placement on the given instances, which should be alive and not
+// leaving. Of several incarnations of one ID it uses the highest.
 func NewMap(instances []fleet.Instance) *Map {
 	m := &Map{nodes: nodesOf(instances)}
 	byZone := make(map[fleet.Zone][]node)
@@ -79,14 +79,14 @@
 	return len(m.nodes)
 }
 
-// Instances returns the instances in order of ID.
+// Instances returns the instances, sorted by ID.
 func (m *Map) Instances() []fleet.Instance {
 	return instancesOf(m.nodes)
 }
 
-// Carriers returns the instances that route a service's requests, count of them or all
-// there are, in order of rank. The numbers of any two zones differ by at most one, unless
-// the smaller has no more instances.
+// Carriers returns the instances that route a service's requests, at most count, in order
+// of rank. The numbers of carriers in any two zones differ by at most one, unless the zone
+// with fewer carriers has no more instances.
 func (m *Map) Carriers(s fleet.Service, count int) []fleet.Instance {
 	return m.carrierSet(s, count).instances
 }
@@ -111,22 +111,23 @@
 	quotas := m.quotas(service, count)
 	var picked []node
 	for i, z := range m.zones {
-		picked = append(picked, top(z.nodes, key, quotas[i])...)
+		picked = append(picked, topByScore(z.nodes, key, quotas[i])...)
 	}
-	return top(picked, key, len(picked))
+	return topByScore(picked, key, len(picked))
 }
 
-// quotas returns how many carriers of a service each zone gives. Zones take turns in the
-// service's own order of zones until count is reached or every zone is exhausted.
+// quotas returns the number of a service's carriers in each zone. Carriers are assigned to
+// the zones in turn, in an order that depends on the service, until there are count carriers
+// or no zone has an unused instance.
 func (m *Map) quotas(service uint64, count int) []int {
 	order := m.zoneOrder(service)
 	quotas := make([]int, len(m.zones))
-	left := min(count, len(m.nodes))
-	for left > 0 {
+	remaining := min(count, len(m.nodes))
+	for remaining > 0 {
 		for _, i := range order {
-			if left > 0 && quotas[i] < len(m.zones[i].nodes) {
+			if remaining > 0 && quotas[i] < len(m.zones[i].nodes) {
 				quotas[i]++
-				left--
+				remaining--
 			}
 		}
 	}
@@ -145,32 +146,32 @@
 	return order
 }
 
-// Evaluator returns the instance that judges a service's endpoints. It is false without instances.
+// Evaluator returns the instance that decides which endpoints of a service are in use, from
+// the evidence of all carriers. It returns false when there are no instances.
 func (m *Map) Evaluator(s fleet.Service) (fleet.Instance, bool) {
-	if cached, ok := m.judges.Load(s); ok {
+	if cached, ok := m.evaluators.Load(s); ok {
 		return cached.(fleet.Instance), true
 	}
-	key := keyOf(saltJudge, hashName(string(s)), 0)
-	best := top(m.nodes, key, 1)
+	key := keyOf(saltEvaluator, hashName(string(s)), 0)
+	best := topByScore(m.nodes, key, 1)
 	if len(best) == 0 {
 		return fleet.Instance{}, false
 	}
-	m.judges.Store(s, best[0].instance)
+	m.evaluators.Store(s, best[0].instance)
 	return best[0].instance, true
 }
 
-// Watchers returns the instances of a zone that watch the platform's store, count of them
-// or all there are.
+// Watchers returns the instances of a zone that watch the platform's store, at most count.
 func (m *Map) Watchers(z fleet.Zone, count int) []fleet.Instance {
 	for _, candidate := range m.zones {
 		if candidate.name == z {
-			return instancesOf(top(candidate.nodes, keyOf(saltWatcher, candidate.hash, 0), count))
+			return instancesOf(topByScore(candidate.nodes, keyOf(saltWatcher, candidate.hash, 0), count))
 		}
 	}
 	return nil
 }
 
-// Zones returns the names of the zones that hold instances, sorted.
+// Zones returns the sorted names of the zones that have instances.
 func (m *Map) Zones() []fleet.Zone {
 	names := make([]fleet.Zone, len(m.zones))
 	for i, z := range m.zones {
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -10,7 +10,8 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// instancesIn returns count instances spread over zones in turn, two zones or more to a region.
+// instancesIn returns count instances that are assigned to the zones in turn. A region has
+// up to three zones.
 func instancesIn(count, zones int) []fleet.Instance {
 	list := make([]fleet.Instance, count)
 	for i := range list {
@@ -39,7 +40,7 @@
 	return list
 }
 
-func refs(list []fleet.Instance) map[fleet.Ref]bool {
+func refSet(list []fleet.Instance) map[fleet.Ref]bool {
 	set := make(map[fleet.Ref]bool)
 	for _, i := range list {
 		set[i.Ref] = true
@@ -62,8 +63,8 @@
 		service := fleet.Service(rapid.StringMatching("[a-z]{1,8}").Draw(t, "service"))
 		m := NewMap(all)
 		carriers := m.Carriers(service, want)
-		if len(carriers) != min(want, len(all)) || len(refs(carriers)) != len(carriers) {
-			t.Fatalf("%d carriers, %d distinct, want %d of %d", len(carriers), len(refs(carriers)), want, len(all))
+		if len(carriers) != min(want, len(all)) || len(refSet(carriers)) != len(carriers) {
+			t.Fatalf("%d carriers, %d distinct, want %d of %d", len(carriers), len(refSet(carriers)), want, len(all))
 		}
 		got, sizes := zoneCounts(carriers), zoneCounts(all)
 		for a := range sizes {
@@ -76,14 +77,14 @@
 	})
 }
 
-func TestDepartureMovesOnlyItsOwnShare(t *testing.T) {
+func TestDepartureMovesOnlyItsServices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawInstances(t)
-		gone := all[rapid.IntRange(0, len(all)-1).Draw(t, "gone")]
-		left := slices.DeleteFunc(slices.Clone(all), func(i fleet.Instance) bool { return i.Ref == gone.Ref })
-		before, after := NewMap(all), NewMap(left)
+		removed := all[rapid.IntRange(0, len(all)-1).Draw(t, "gone")]
+		remaining := slices.DeleteFunc(slices.Clone(all), func(i fleet.Instance) bool { return i.Ref == removed.Ref })
+		before, after := NewMap(all), NewMap(remaining)
 		for k := range 20 {
-			checkDeparture(t, before, after, gone, fleet.Service(fmt.Sprintf("s%d", k)), len(left) > 0 && sameZones(all, left))
+			checkDeparture(t, before, after, removed, fleet.Service(fmt.Sprintf("s%d", k)), len(remaining) > 0 && sameZones(all, remaining))
 		}
 	})
 }
@@ -92,28 +93,30 @@
 	return len(zoneCounts(a)) == len(zoneCounts(b))
 }
 
-func checkDeparture(t *rapid.T, before, after *Map, gone fleet.Instance, s fleet.Service, zoneStays bool) {
-	was, is := refs(before.Carriers(s, 6)), refs(after.Carriers(s, 6))
-	if !was[gone.Ref] && zoneStays {
-		for r := range was {
-			if !is[r] {
-				t.Fatalf("%s lost carrier %v though %v did not carry it", s, r, gone.Ref)
+// checkDeparture compares the placement of a service before and after one instance is removed.
+// zoneStays is false when the removed instance was the last one of its zone.
+func checkDeparture(t *rapid.T, before, after *Map, removed fleet.Instance, s fleet.Service, zoneStays bool) {
+	carriersBefore, carriersAfter := refSet(before.Carriers(s, 6)), refSet(after.Carriers(s, 6))
+	if !carriersBefore[removed.Ref] && zoneStays {
+		for r := range carriersBefore {
+			if !carriersAfter[r] {
+				t.Fatalf("service %s: carrier %v was replaced when %v left, which was no carrier", s, r, removed.Ref)
 			}
 		}
 	}
 	added := 0
-	for r := range is {
-		if !was[r] {
+	for r := range carriersAfter {
+		if !carriersBefore[r] {
 			added++
 		}
 	}
-	if was[gone.Ref] && zoneStays && added > 1 {
-		t.Fatalf("%s gained %d carriers for one departure", s, added)
+	if carriersBefore[removed.Ref] && zoneStays && added > 1 {
+		t.Fatalf("service %s has %d new carriers after one departure, want at most 1", s, added)
 	}
-	wasJudge, _ := before.Evaluator(s)
-	isJudge, ok := after.Evaluator(s)
-	if ok && wasJudge.Ref != gone.Ref && wasJudge.Ref != isJudge.Ref {
-		t.Fatalf("%s: judge moved from %v to %v when %v left", s, wasJudge.Ref, isJudge.Ref, gone.Ref)
+	evaluatorBefore, _ := before.Evaluator(s)
+	evaluatorAfter, ok := after.Evaluator(s)
+	if ok && evaluatorBefore.Ref != removed.Ref && evaluatorBefore.Ref != evaluatorAfter.Ref {
+		t.Fatalf("service %s: evaluator moved from %v to %v when %v left", s, evaluatorBefore.Ref, evaluatorAfter.Ref, removed.Ref)
 	}
 }
 
@@ -123,10 +126,10 @@
 		shuffled := rapid.Permutation(all).Draw(t, "order")
 		a, b := NewMap(all), NewMap(shuffled)
 		if !slices.Equal(a.Carriers("s", 7), b.Carriers("s", 7)) {
-			t.Fatal("carriers depend on the order")
+			t.Fatal("carriers depend on the order of the instances")
 		}
 		if !slices.Equal(a.Entries("s", "a", "z0", 7, 3), b.Entries("s", "a", "z0", 7, 3)) {
-			t.Fatal("entries depend on the order")
+			t.Fatal("entries depend on the order of the instances")
 		}
 	})
 }
@@ -138,7 +141,7 @@
 		near := fleet.Zone(rapid.SampledFrom([]string{"", "z0", "z1", "z4"}).Draw(t, "near"))
 		home, witness, ok := m.HomeAndWitnessNear("s", account, near, 6)
 		if !ok {
-			t.Fatal("no home")
+			t.Fatal("no home was returned")
 		}
 		carriers := m.Carriers("s", 6)
 		if first := m.Entries("s", account, near, 6, 1); first[0] != home {
@@ -172,25 +175,25 @@
 		t.Fatalf("home %v, witness %v, ok %v", home.Ref, witness.Ref, ok)
 	}
 	if _, _, ok := NewMap(nil).HomeAndWitness("s", "a", 6); ok {
-		t.Fatal("a home without instances")
+		t.Fatal("a home was returned without instances")
 	}
 }
 
-func TestRestartKeepsThePlace(t *testing.T) {
+func TestRestartKeepsPlacement(t *testing.T) {
 	all := instancesIn(12, 3)
 	before := NewMap(all).Carriers("s", 4)
-	again := slices.Clone(all)
-	for i := range again {
-		again[i].Ref.Incarnation = 9
+	restarted := slices.Clone(all)
+	for i := range restarted {
+		restarted[i].Ref.Incarnation = 9
 	}
-	for i, c := range NewMap(again).Carriers("s", 4) {
+	for i, c := range NewMap(restarted).Carriers("s", 4) {
 		if c.Ref.ID != before[i].Ref.ID {
 			t.Fatalf("carrier %d moved from %v to %v", i, before[i].Ref, c.Ref)
 		}
 	}
 }
 
-func TestHighestIncarnationCounts(t *testing.T) {
+func TestHighestIncarnationIsUsed(t *testing.T) {
 	all := instancesIn(2, 1)
 	old := all[0]
 	all[0].Ref.Incarnation = 5
@@ -200,7 +203,7 @@
 	}
 }
 
-func TestWatchersAreOfTheZone(t *testing.T) {
+func TestWatchersAreInTheirZone(t *testing.T) {
 	m := NewMap(instancesIn(44, 3))
 	for _, z := range m.Zones() {
 		watchers := m.Watchers(z, 2)
@@ -209,6 +212,6 @@
 		}
 	}
 	if m.Watchers("elsewhere", 2) != nil {
-		t.Fatal("watchers in a zone without instances")
+		t.Fatal("watchers were returned for a zone without instances")
 	}
 }
--- a/coord/placement/rank.go
+++ b/coord/placement/rank.go
@@ -7,45 +7,46 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// scored is the place of a node in a slice, with what ranks it.
-type scored struct {
+// rankEntry is the index of a node in a slice and the values by which it is ranked.
+type rankEntry struct {
 	index int
 	class int // Lowest first.
 	score uint64
 }
 
-func compareScored(a, b scored) int {
+func compareRank(a, b rankEntry) int {
 	return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(b.score, a.score), cmp.Compare(a.index, b.index))
 }
 
-// top returns the count nodes that score highest for key, best first.
-func top(nodes []node, key uint64, count int) []node {
-	best := make([]scored, 0, min(max(count, 0), len(nodes))+1)
+// topByScore returns the count nodes with the highest scores for key, highest first.
+func topByScore(nodes []node, key uint64, count int) []node {
+	best := make([]rankEntry, 0, min(max(count, 0), len(nodes))+1)
 	for i := range nodes {
-		s := scored{index: i, score: score(key, nodes[i].hash)}
+		s := rankEntry{index: i, score: score(key, nodes[i].hash)}
 		if len(best) == cap(best)-1 {
-			if len(best) == 0 || compareScored(best[len(best)-1], s) <= 0 {
+			if len(best) == 0 || compareRank(best[len(best)-1], s) <= 0 {
 				continue
 			}
 			best = best[:len(best)-1]
 		}
-		at, _ := slices.BinarySearchFunc(best, s, compareScored)
+		at, _ := slices.BinarySearchFunc(best, s, compareRank)
 		best = slices.Insert(best, at, s)
 	}
-	return pick(nodes, best)
+	return nodesAt(nodes, best)
 }
 
-// rank returns the nodes by class, lowest first, and by score within a class.
+// rank returns the nodes sorted by class, lowest first, and within a class by score for
+// key, highest first.
 func rank(nodes []node, key uint64, class func(*fleet.Instance) int) []node {
-	order := make([]scored, len(nodes))
+	order := make([]rankEntry, len(nodes))
 	for i := range nodes {
-		order[i] = scored{index: i, class: class(&nodes[i].instance), score: score(key, nodes[i].hash)}
+		order[i] = rankEntry{index: i, class: class(&nodes[i].instance), score: score(key, nodes[i].hash)}
 	}
-	slices.SortFunc(order, compareScored)
-	return pick(nodes, order)
+	slices.SortFunc(order, compareRank)
+	return nodesAt(nodes, order)
 }
 
-func pick(nodes []node, order []scored) []node {
+func nodesAt(nodes []node, order []rankEntry) []node {
 	picked := make([]node, len(order))
 	for k, s := range order {
 		picked[k] = nodes[s.index]
--- a/coord/placement/rapid_test.go
+++ b/coord/placement/rapid_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Every run draws the same cases, so that it comes to the same verdict.
+// The fixed seed makes every run draw the same cases, so that test results are reproducible.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/coord/placement/spread_test.go
+++ b/coord/placement/spread_test.go
@@ -7,43 +7,44 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// maxOverMean is the most callers that a carrier may have, as a multiple of the mean.
+// maxOverMean is the maximum number of callers of one carrier, as a multiple of the mean.
 const maxOverMean = 1.25
 
-// heaviest returns the heaviest carrier's callers over the mean, when each caller uses its first entry.
-func heaviest(m *Map, s fleet.Service, carriers, callers int, near func(caller int) fleet.Zone) float64 {
+// maxCarrierLoad returns the largest number of callers of one carrier, as a multiple of the
+// mean, when each caller uses its first entry.
+func maxCarrierLoad(m *Map, s fleet.Service, carriers, callers int, near func(caller int) fleet.Zone) float64 {
 	counts := make(map[fleet.Ref]int)
 	for c := range callers {
 		account := fleet.Account(fmt.Sprintf("account-%d", c))
 		counts[m.Entries(s, account, near(c), carriers, 3)[0].Ref]++
 	}
-	most := 0
+	largest := 0
 	for _, n := range counts {
-		most = max(most, n)
+		largest = max(largest, n)
 	}
-	return float64(most) * float64(len(m.Carriers(s, carriers))) / float64(callers)
+	return float64(largest) * float64(len(m.Carriers(s, carriers))) / float64(callers)
 }
 
 func TestNoCarrierHasMoreThanItsShareOfCallers(t *testing.T) {
-	anywhere := func(int) fleet.Zone { return "" }
-	inTurn := func(zones int) func(int) fleet.Zone {
+	noZone := func(int) fleet.Zone { return "" }
+	zonesInTurn := func(zones int) func(int) fleet.Zone {
 		return func(c int) fleet.Zone { return fleet.Zone(fmt.Sprintf("z%d", c%zones)) }
 	}
 	cases := []struct {
 		instances, zones, carriers int
 		near                       func(int) fleet.Zone
 	}{
-		{32, 3, 12, anywhere}, {32, 3, 12, inTurn(3)},
-		{36, 3, 12, anywhere}, {36, 3, 12, inTurn(3)},
-		{44, 3, 12, anywhere}, {44, 3, 12, inTurn(3)},
-		{810, 5, 15, anywhere}, {810, 5, 15, inTurn(5)},
+		{32, 3, 12, noZone}, {32, 3, 12, zonesInTurn(3)},
+		{36, 3, 12, noZone}, {36, 3, 12, zonesInTurn(3)},
+		{44, 3, 12, noZone}, {44, 3, 12, zonesInTurn(3)},
+		{810, 5, 15, noZone}, {810, 5, 15, zonesInTurn(5)},
 	}
 	for _, c := range cases {
 		m := NewMap(instancesIn(c.instances, c.zones))
 		worst := 0.0
 		for s := range 8 {
 			service := fleet.Service(fmt.Sprintf("service-%d", s))
-			got := heaviest(m, service, c.carriers, 4000, c.near)
+			got := maxCarrierLoad(m, service, c.carriers, 4000, c.near)
 			worst = max(worst, got)
 			if got > maxOverMean {
 				t.Errorf("%d instances, %d zones, %d carriers, %s: %.3f times the mean, bound %.2f",
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestUnevenCallersGiveWayToOtherZones(t *testing.T) {
+func TestUnevenCallersSpillToOtherZones(t *testing.T) {
 	shares := map[fleet.Zone]float64{"z0": 0.6, "z1": 0.3, "z2": 0.1}
 	near := func(c int) fleet.Zone {
 		switch {
@@ -70,39 +71,40 @@
 	m := NewMap(instancesIn(44, 3)).WithCallerShares(shares)
 	for s := range 8 {
 		service := fleet.Service(fmt.Sprintf("service-%d", s))
-		if got := heaviest(m, service, 12, 4000, near); got > maxOverMean {
-			t.Errorf("%s: %.3f times the mean, bound %.2f", service, got, maxOverMean)
+		if got := maxCarrierLoad(m, service, 12, 4000, near); got > maxOverMean {
+			t.Errorf("service %s: %.3f times the mean, bound %.2f", service, got, maxOverMean)
 		}
 	}
 }
 
-// TestDepartureShareAtSize counts the placements that one departure moves.
-func TestDepartureShareAtSize(t *testing.T) {
+// TestDepartureMovesOnlyItsCarriersAtScale checks that the departure of one instance creates
+// no more new carriers than the number of services that it carried.
+func TestDepartureMovesOnlyItsCarriersAtScale(t *testing.T) {
 	for _, size := range []struct{ instances, zones int }{{44, 3}, {810, 5}} {
 		all := instancesIn(size.instances, size.zones)
 		before, after := NewMap(all), NewMap(all[1:])
-		moved, held := 0, 0
+		moved, vacated := 0, 0
 		for s := range 270 {
 			service := fleet.Service(fmt.Sprintf("service-%d", s))
-			was, is := refs(before.Carriers(service, 12)), refs(after.Carriers(service, 12))
-			if was[all[0].Ref] {
-				held++
+			carriersBefore, carriersAfter := refSet(before.Carriers(service, 12)), refSet(after.Carriers(service, 12))
+			if carriersBefore[all[0].Ref] {
+				vacated++
 			}
-			for r := range is {
-				if !was[r] {
+			for r := range carriersAfter {
+				if !carriersBefore[r] {
 					moved++
 				}
 			}
 		}
-		t.Logf("%d instances: %d of %d places held by the one that left, %d moved", size.instances, held, 270*12, moved)
-		if moved > held {
-			t.Errorf("%d instances: %d places moved, the one that left held %d", size.instances, moved, held)
+		t.Logf("%d instances: the instance that left held %d of %d carrier places, %d moved", size.instances, vacated, 270*12, moved)
+		if moved > vacated {
+			t.Errorf("%d instances: %d carrier places moved, but the instance that left held %d", size.instances, moved, vacated)
 		}
 	}
 }
 
-// BenchmarkSpreadOfFewCallers reports the heaviest carrier when callers are few, using their first
-// entry or all three in turn.
+// BenchmarkSpreadOfFewCallers reports the load of the most loaded carrier when there are few
+// callers, which use their first entry only or all three in turn.
 func BenchmarkSpreadOfFewCallers(b *testing.B) {
 	m := NewMap(instancesIn(810, 5))
 	for _, callers := range []int{292, 1000, 4000} {
@@ -110,7 +112,7 @@
 			worst, over := 0.0, 0
 			const services = 40
 			for s := range services {
-				got := heaviestOver(m, fleet.Service(fmt.Sprintf("service-%d", s)), 15, callers, used)
+				got := maxLoadOverEntries(m, fleet.Service(fmt.Sprintf("service-%d", s)), 15, callers, used)
 				worst = max(worst, got)
 				if got > maxOverMean {
 					over++
@@ -122,17 +124,18 @@
 	}
 }
 
-// heaviestOver is heaviest for callers anywhere that spread their requests over some entries.
-func heaviestOver(m *Map, s fleet.Service, carriers, callers, used int) float64 {
+// maxLoadOverEntries is like maxCarrierLoad for callers without a zone, each of which spreads
+// its requests over its first used entries.
+func maxLoadOverEntries(m *Map, s fleet.Service, carriers, callers, used int) float64 {
 	counts := make(map[fleet.Ref]int)
 	for c := range callers {
 		for _, e := range m.Entries(s, fleet.Account(fmt.Sprintf("account-%d", c)), "", carriers, used) {
 			counts[e.Ref]++
 		}
 	}
-	most := 0
+	largest := 0
 	for _, n := range counts {
-		most = max(most, n)
+		largest = max(largest, n)
 	}
-	return float64(most) * float64(carriers) / float64(callers*used)
+	return float64(largest) * float64(carriers) / float64(callers*used)
 }
