--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -80,7 +80,7 @@
 func TestDepartureMovesOnlyItsServices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawInstances(t)
-		removed := all[rapid.IntRange(0, len(all)-1).Draw(t, "gone")]
+		removed := all[rapid.IntRange(0, len(all)-1).Draw(t, "removed")]
 		remaining := slices.DeleteFunc(slices.Clone(all), func(i fleet.Instance) bool { return i.Ref == removed.Ref })
 		before, after := NewMap(all), NewMap(remaining)
 		for k := range 20 {
--- a/coord/routing/model_test.go
+++ b/coord/routing/model_test.go
@@ -245,7 +245,7 @@
 		name := fleet.Endpoint(fmt.Sprintf("192.0.2.%d:80", i))
 		target := Target{
 			Upstream: fleet.Upstream{Endpoint: name, Zone: rapid.SampledFrom([]fleet.Zone{"a", "b"}).Draw(t, "zone")},
-			State:    rapid.SampledFrom(drawnStates).Draw(t, "standing"),
+			State:    rapid.SampledFrom(drawnStates).Draw(t, "state"),
 			Limit:    rapid.SampledFrom([]int{1, 1, 2, 3, 0}).Draw(t, "limit"),
 			LoadHint: rapid.Float64Range(0, 1).Draw(t, "load"),
 		}
