--- a/coord/membership/api.go
+++ b/coord/membership/api.go
@@ -6,64 +6,65 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Errors that the program hands to Machine.RosterRead and Machine.RosterWritten.
+// Errors that the embedding program passes to Machine.RosterRead and Machine.RosterWritten.
 var (
-	// ErrConflict says that the stored roster has another generation; nothing was written.
+	// ErrConflict means that the stored roster has another generation and nothing was written.
 	ErrConflict = errors.New("roster written by another instance")
-	// ErrUnknownResult says that a write of the roster may or may not have taken effect.
+	// ErrUnknownResult means that a write of the roster may or may not have taken effect.
 	ErrUnknownResult = errors.New("result of roster write unknown")
 )
 
-// Roster is the fleet's record of its instances. The platform's store holds it under one key.
+// Roster is the fleet's record of its instances. The platform's store keeps it under one key.
 type Roster struct {
 	Fleet      string           `cbor:"1,keyasint" json:"fleet"`
 	Generation uint64           `cbor:"2,keyasint" json:"generation"`
 	Instances  []fleet.Instance `cbor:"3,keyasint" json:"instances"` // Sorted by ID.
 }
 
-// Member is one instance of the roster with what this instance knows of it.
+// Member is one instance of the roster with its state in the local view.
 type Member struct {
-	Instance fleet.Instance `json:"instance"`
-	Status   Status         `json:"status"`
-	Revision fleet.Revision `json:"revision"` // Configuration in force there, as last heard; zero unless a neighbour.
-	Heard    bool           `json:"heard"`    // False when no chain of neighbours that hear each other leads to it.
+	Instance  fleet.Instance `json:"instance"`
+	Status    Status         `json:"status"`
+	Revision  fleet.Revision `json:"revision"` // Active configuration by its last heartbeat; zero unless a neighbour.
+	Reachable bool           `json:"heard"`    // False when no path of working overlay links leads to it.
 }
 
-// Status is how an instance stands.
+// Status is the state of an instance in the local view.
 type Status uint8
 
 // Statuses of an instance.
 const (
-	StatusAlive Status = iota + 1
-	StatusSuspect
-	StatusLeaving
-	StatusDead
+	StatusAlive   Status = iota + 1
+	StatusSuspect        // At most half of its neighbours vote it unreachable.
+	StatusLeaving        // It announced that it is stopping.
+	StatusDead           // More than half of its neighbours vote it unreachable, or it announced that it has stopped.
 )
 
-// Effect is something the embedding program must do: Send, ReadRoster, WriteRoster or Changed.
+// Effect is an action that the embedding program must carry out, or an event that it must
+// handle: Send, ReadRoster, WriteRoster, Rejoined, Superseded or Changed.
 type Effect interface{ isEffect() }
 
-// Send asks for a message to be sent to an instance. It may be lost, doubled or delayed.
+// Send requests that a message be sent to an instance. It may be lost, duplicated or delayed.
 type Send struct {
 	To      fleet.Instance
 	Message Message
 }
 
-// ReadRoster asks for the roster record to be read; the program answers with Machine.RosterRead.
+// ReadRoster requests a read of the roster record; the program reports it with Machine.RosterRead.
 type ReadRoster struct{}
 
-// WriteRoster asks for a compare-and-swap of the roster record from generation
-// Roster.Generation-1; the program answers with Machine.RosterWritten.
+// WriteRoster requests a compare-and-swap of the roster record from generation
+// Roster.Generation-1; the program reports the outcome with Machine.RosterWritten.
 type WriteRoster struct{ Roster Roster }
 
-// Rejoined says that this instance was taken off the roster and now is Self, its next life.
-// Whatever it held as its former life is void.
+// Rejoined reports that this instance was removed from the roster and continues as Self, its
+// next incarnation. Anything it owned as the previous incarnation is no longer valid.
 type Rejoined struct{ Self fleet.Instance }
 
-// Superseded says that another process has taken this instance's ID. The machine has stopped.
+// Superseded reports that another process runs with this instance's ID. The machine has stopped.
 type Superseded struct{ By fleet.Instance }
 
-// Changed says that Machine.Members or Machine.Roster has changed.
+// Changed reports that Machine.Members or Machine.Roster has changed.
 type Changed struct{}
 
 func (Send) isEffect()        {}
--- a/coord/membership/facts.go
+++ b/coord/membership/facts.go
@@ -6,54 +6,54 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// facts holds what instances have said and has not been settled by the roster.
+// facts is the set of gossiped facts that the roster does not reflect yet.
 type facts struct {
-	byKey  map[factKey]Fact
-	silent map[fleet.Ref]int // Silent votes, by subject.
-	digest uint64            // Of the standing facts.
+	byKey            map[factKey]Fact
+	unreachableVotes map[fleet.Ref]int // Number of unreachable votes, by subject.
+	digest           uint64            // Of the active facts.
 }
 
 func newFacts() *facts {
-	return &facts{byKey: make(map[factKey]Fact), silent: make(map[fleet.Ref]int)}
+	return &facts{byKey: make(map[factKey]Fact), unreachableVotes: make(map[fleet.Ref]int)}
 }
 
-// merge takes a fact and reports whether it says more than what was held.
+// merge stores a fact and reports whether it was new or of a higher version.
 func (s *facts) merge(f Fact) bool {
-	old, held := s.byKey[f.key()]
-	if held && old.Count >= f.Count {
+	old, exists := s.byKey[f.key()]
+	if exists && old.Version >= f.Version {
 		return false
 	}
-	if !held && len(s.byKey) >= maxFacts {
+	if !exists && len(s.byKey) >= maxFacts {
 		return false
 	}
-	if held {
-		s.account(old, -1)
+	if exists {
+		s.updateTotals(old, -1)
 	}
 	s.byKey[f.key()] = f
-	s.account(f, 1)
+	s.updateTotals(f, 1)
 	return true
 }
 
-// account adds a fact to, or takes it from, the sums over all facts.
-func (s *facts) account(f Fact, sign int) {
-	if !f.standing() {
+// updateTotals adds an active fact to the totals over all facts (sign 1) or subtracts it (sign -1).
+func (s *facts) updateTotals(f Fact, sign int) {
+	if !f.active() {
 		return
 	}
 	s.digest ^= f.digest()
 	if f.Kind != FactVote {
 		return
 	}
-	s.silent[f.Subject] += sign
-	if s.silent[f.Subject] == 0 {
-		delete(s.silent, f.Subject)
+	s.unreachableVotes[f.Subject] += sign
+	if s.unreachableVotes[f.Subject] == 0 {
+		delete(s.unreachableVotes, f.Subject)
 	}
 }
 
-// keep drops the facts for which wanted is false.
-func (s *facts) keep(wanted func(Fact) bool) {
+// retain deletes the facts for which keep is false.
+func (s *facts) retain(keep func(Fact) bool) {
 	for key, f := range s.byKey {
-		if !wanted(f) {
-			s.account(f, -1)
+		if !keep(f) {
+			s.updateTotals(f, -1)
 			delete(s.byKey, key)
 		}
 	}
@@ -64,12 +64,12 @@
 	return ok
 }
 
-// silentVote reports whether voter says that it does not hear subject.
-func (s *facts) silentVote(subject, voter fleet.Ref) bool {
-	return s.byKey[factKey{kind: FactVote, subject: subject, voter: voter}].Silent
+// votedUnreachable reports whether voter votes subject unreachable.
+func (s *facts) votedUnreachable(subject, voter fleet.Ref) bool {
+	return s.byKey[factKey{kind: FactVote, subject: subject, voter: voter}].Unreachable
 }
 
-// all returns every fact in a fixed order.
+// all returns every fact in a deterministic order.
 func (s *facts) all() []Fact {
 	list := make([]Fact, 0, len(s.byKey))
 	for _, f := range s.byKey {
@@ -79,8 +79,8 @@
 	return list
 }
 
-// joins returns the instances that ask to be put on the roster, the highest incarnation of each ID.
-func (s *facts) joins() []fleet.Instance {
+// joinRequests returns the instances that request to be added to the roster, the highest incarnation of each ID.
+func (s *facts) joinRequests() []fleet.Instance {
 	highest := make(map[fleet.InstanceID]fleet.Instance)
 	for _, f := range s.byKey {
 		if f.Kind == FactJoin && f.Subject.Incarnation >= highest[f.Subject.ID].Ref.Incarnation {
--- a/coord/membership/join.go
+++ b/coord/membership/join.go
@@ -6,28 +6,29 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// joinTargets is the number of instances that a request to join is sent to at once.
+// joinTargets is the number of instances that each join request is sent to.
 const joinTargets = 3
 
-// joinPatience is how many times JoinWriteWait an instance waits when others have answered it.
-const joinPatience = 6
+// answeredJoinWaitFactor multiplies JoinWriteWait when another instance has sent a roster:
+// that instance is expected to add this one.
+const answeredJoinWaitFactor = 6
 
-// joinState is how far this instance has got with joining.
+// joinState is the progress of joining the fleet.
 type joinState struct {
-	started  bool
-	done     bool // This life is on the roster.
-	hints    []fleet.Instance
-	since    time.Time // Start of this attempt.
-	askedAt  time.Time
-	answered bool          // An instance has sent a roster.
-	read     bool          // The store was read in this attempt.
-	jitter   time.Duration // Added to the waits.
+	started        bool
+	joined         bool // This incarnation is on the roster.
+	seeds          []fleet.Instance
+	startedAt      time.Time // Start of the current attempt.
+	requestedAt    time.Time
+	rosterReceived bool          // An instance has sent a roster or a delta in this attempt.
+	storeRead      bool          // The store's roster was read in this attempt.
+	jitter         time.Duration // Random addition to the waits, which spreads simultaneous joins.
 }
 
-// Start begins to join. hints is the platform's list, which may lag.
-func (m *Machine) Start(now time.Time, hints []fleet.Instance) []Effect {
+// Start begins to join. seeds is the platform's list of instances, which may be out of date.
+func (m *Machine) Start(now time.Time, seeds []fleet.Instance) []Effect {
 	m.advance(now)
-	m.join.hints = hints
+	m.join.seeds = seeds
 	m.beginJoin()
 	m.tickJoin()
 	return m.flush()
@@ -35,55 +36,55 @@
 
 func (m *Machine) beginJoin() {
 	m.join.started = true
-	m.join.done = false
-	m.join.since = m.now
-	m.join.askedAt = time.Time{}
-	m.join.answered = false
-	m.join.read = false
+	m.join.joined = false
+	m.join.startedAt = m.now
+	m.join.requestedAt = time.Time{}
+	m.join.rosterReceived = false
+	m.join.storeRead = false
 	m.join.jitter = time.Duration(m.random.Int64N(int64(m.cfg.JoinReadWait)))
 }
 
-// tickJoin repeats the request to join, then reads the store, then writes the roster itself.
+// tickJoin repeats the join request and, when no instance answers in time, reads the store.
 func (m *Machine) tickJoin() {
-	if !m.join.started || m.join.done || m.leaving {
+	if !m.join.started || m.join.joined || m.leaving {
 		return
 	}
-	if m.join.askedAt.IsZero() || m.now.Sub(m.join.askedAt) >= m.cfg.JoinInterval {
-		m.join.askedAt = m.now
-		m.askToJoin()
+	if m.join.requestedAt.IsZero() || m.now.Sub(m.join.requestedAt) >= m.cfg.JoinInterval {
+		m.join.requestedAt = m.now
+		m.sendJoinRequests()
 	}
-	waited := m.now.Sub(m.join.since) - m.join.jitter
-	if !m.join.answered && !m.join.read && waited >= m.cfg.JoinReadWait {
+	waited := m.now.Sub(m.join.startedAt) - m.join.jitter
+	if !m.join.rosterReceived && !m.join.storeRead && waited >= m.cfg.JoinReadWait {
 		m.readRoster()
 	}
 }
 
-// mayWriteItself reports whether an instance off the roster may put itself on it: when the
-// store shows that there is nobody to ask, or nobody asked has done so for long.
-func (m *Machine) mayWriteItself() bool {
-	if !m.join.started || m.join.done || m.leaving {
+// mayAddSelf reports whether an instance that is not on the roster may add itself: when the
+// stored roster is empty, or when no other instance has added it in time.
+func (m *Machine) mayAddSelf() bool {
+	if !m.join.started || m.join.joined || m.leaving {
 		return false
 	}
-	waited := m.now.Sub(m.join.since) - m.join.jitter
+	waited := m.now.Sub(m.join.startedAt) - m.join.jitter
 	if len(m.roster.Instances) == 0 {
-		return m.join.read
+		return m.join.storeRead
 	}
-	if m.join.answered {
-		return waited >= joinPatience*m.cfg.JoinWriteWait
+	if m.join.rosterReceived {
+		return waited >= answeredJoinWaitFactor*m.cfg.JoinWriteWait
 	}
 	return waited >= m.cfg.JoinWriteWait
 }
 
-func (m *Machine) askToJoin() {
+func (m *Machine) sendJoinRequests() {
 	self := m.self
 	for _, target := range m.joinTargets() {
-		m.sendTo(target, Message{Join: &self, Ask: &Ask{Have: m.roster.Generation}})
+		m.sendTo(target, Message{Join: &self, RosterRequest: &RosterRequest{NewerThan: m.roster.Generation}})
 	}
 }
 
-// joinTargets returns a few instances at random, of different zones first.
+// joinTargets returns a few random instances, preferring different zones.
 func (m *Machine) joinTargets() []fleet.Instance {
-	candidates := append([]fleet.Instance(nil), m.join.hints...)
+	candidates := append([]fleet.Instance(nil), m.join.seeds...)
 	candidates = append(candidates, m.roster.Instances...)
 	m.random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	var targets, rest []fleet.Instance
@@ -102,17 +103,17 @@
 	return targets[:min(joinTargets, len(targets))]
 }
 
-// deliverJoin takes another instance's request to join.
-func (m *Machine) deliverJoin(from fleet.Ref, i fleet.Instance) {
+// handleJoin accepts another instance's join request.
+func (m *Machine) handleJoin(from fleet.Ref, i fleet.Instance) {
 	if i.Ref != from || i.Ref.ID == "" {
 		m.counters.Malformed++
 		return
 	}
-	if !m.mayJoin(i) {
+	if !m.isNewerIncarnation(i) {
 		if !m.roster.Has(i.Ref) {
 			m.counters.OldIncarnation++
 		}
 		return
 	}
-	m.learn(from, Fact{Kind: FactJoin, Subject: i.Ref, Count: 1, Instance: &i})
+	m.mergeAndForward(from, Fact{Kind: FactJoin, Subject: i.Ref, Version: 1, Instance: &i})
 }
--- a/coord/membership/machine.go
+++ b/coord/membership/machine.go
@@ -8,75 +8,75 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Machine keeps one instance's view of the fleet.
+// Machine maintains one instance's view of the fleet. It does no I/O; it is not safe for concurrent use.
 type Machine struct {
-	cfg      Config
-	self     fleet.Instance
-	random   *rand.Rand
-	now      time.Time // Of the last event.
-	lastTick time.Time
-	roster   Roster
-	overlay  *overlay
-	delta    *Delta // That led to roster, when it is known.
-	links    map[fleet.Ref]*link
-	facts    *facts
-	counts   map[fleet.Ref]uint64 // Of own votes, by subject.
-	outbox   map[fleet.Ref][]Fact
-	replied  map[fleet.Ref]time.Time // Last roster sent to an instance that is not on it.
-	deadAt   map[fleet.Ref]time.Time // Since when a member is missing in this view.
-	listed   map[fleet.InstanceID]fleet.Incarnation
-	join     joinState
-	writer   writerState
-	revision fleet.Revision
-	members  []Member
-	stale    bool // Members must be worked out anew.
-	leaving  bool
-	stopped  bool
-	effects  []Effect
-	counters Counters
+	cfg          Config
+	self         fleet.Instance
+	random       *rand.Rand
+	now          time.Time // Time of the last event.
+	lastTick     time.Time
+	roster       Roster
+	overlay      *overlay
+	delta        *Delta // Led to the current roster; nil when not known.
+	links        map[fleet.Ref]*link
+	facts        *facts
+	voteVersions map[fleet.Ref]uint64 // Versions of this instance's votes, by subject.
+	outbox       map[fleet.Ref][]Fact
+	rosterSentAt map[fleet.Ref]time.Time // Last reply to an instance that is not on the roster.
+	missingSince map[fleet.Ref]time.Time // When each member became dead or unreachable.
+	platformList map[fleet.InstanceID]fleet.Incarnation
+	join         joinState
+	writer       writerState
+	revision     fleet.Revision
+	members      []Member
+	membersStale bool // members must be recomputed.
+	leaving      bool
+	stopped      bool
+	effects      []Effect
+	counters     Counters
 }
 
-// link is what is known of one neighbour.
+// link is the state of the link to one neighbour.
 type link struct {
-	instance   fleet.Instance
-	heardAt    time.Time // Last heartbeat, or when it became a neighbour.
-	sentAt     time.Time // Last heartbeat sent.
-	generation uint64
-	revision   fleet.Revision
-	differs    time.Time // Since when its facts differ; zero when they do not.
-	askedAt    time.Time
+	instance     fleet.Instance
+	receivedAt   time.Time // Time of the last heartbeat received, or when it became a neighbour.
+	sentAt       time.Time // Time of the last heartbeat sent.
+	generation   uint64
+	revision     fleet.Revision
+	differsSince time.Time // Start of the time that its facts differ; zero when they do not.
+	requestedAt  time.Time
 }
 
 // NewMachine returns the machine of an instance that is not on the roster yet. random
-// spreads the instances' retries.
+// provides the jitter that spreads the instances' retries.
 func NewMachine(cfg Config, self fleet.Instance, random *rand.Rand) *Machine {
 	m := &Machine{
-		cfg:     cfg.withDefaults(),
-		self:    self,
-		random:  random,
-		roster:  Roster{Fleet: cfg.Fleet},
-		overlay: newOverlay(nil),
-		links:   make(map[fleet.Ref]*link),
-		facts:   newFacts(),
-		counts:  make(map[fleet.Ref]uint64),
-		outbox:  make(map[fleet.Ref][]Fact),
-		replied: make(map[fleet.Ref]time.Time),
-		deadAt:  make(map[fleet.Ref]time.Time),
+		cfg:          cfg.withDefaults(),
+		self:         self,
+		random:       random,
+		roster:       Roster{Fleet: cfg.Fleet},
+		overlay:      newOverlay(nil),
+		links:        make(map[fleet.Ref]*link),
+		facts:        newFacts(),
+		voteVersions: make(map[fleet.Ref]uint64),
+		outbox:       make(map[fleet.Ref][]Fact),
+		rosterSentAt: make(map[fleet.Ref]time.Time),
+		missingSince: make(map[fleet.Ref]time.Time),
 	}
 	return m
 }
 
-// Self returns this instance as its current life.
+// Self returns this instance with its current incarnation.
 func (m *Machine) Self() fleet.Instance {
 	return m.self
 }
 
-// Joined reports whether this life is on the roster.
+// Joined reports whether this incarnation is on the roster.
 func (m *Machine) Joined() bool {
-	return m.join.done
+	return m.join.joined
 }
 
-// Roster returns the roster of the highest generation known. Its Instances must not be changed.
+// Roster returns the roster with the highest generation received. Its Instances must not be modified.
 func (m *Machine) Roster() Roster {
 	return m.roster
 }
@@ -93,11 +93,11 @@
 
 // Neighbours returns the instances that this one exchanges heartbeats with.
 func (m *Machine) Neighbours() []fleet.Instance {
-	return m.overlay.of(m.self.Ref)
+	return m.overlay.neighboursOf(m.self.Ref)
 }
 
-// Ahead returns the neighbour whose configuration is the highest above this instance's.
-func (m *Machine) Ahead() (fleet.Instance, fleet.Revision, bool) {
+// NeighbourAhead returns the neighbour with the highest configuration revision, if it is above this instance's.
+func (m *Machine) NeighbourAhead() (fleet.Instance, fleet.Revision, bool) {
 	best := m.revision
 	var found fleet.Instance
 	for _, n := range m.Neighbours() {
@@ -108,7 +108,7 @@
 	return found, best, best > m.revision
 }
 
-// Deliver takes a message of another instance.
+// Deliver handles a message from another instance.
 func (m *Machine) Deliver(now time.Time, from fleet.Ref, msg Message) []Effect {
 	if m.stopped {
 		return nil
@@ -119,22 +119,23 @@
 		return nil
 	}
 	if msg.Join != nil {
-		m.deliverJoin(from, *msg.Join)
+		m.handleJoin(from, *msg.Join)
 	}
-	m.deliverRosters(from, msg)
-	if !m.known(from, msg) {
+	m.handleRoster(from, msg)
+	if !m.admitSender(from, msg) {
 		return m.flush()
 	}
-	m.mergeFacts(from, msg.Facts)
+	m.handleFacts(from, msg.Facts)
 	if msg.Heartbeat != nil {
-		m.deliverHeartbeat(from, *msg.Heartbeat)
+		m.handleHeartbeat(from, *msg.Heartbeat)
 	}
 	return m.flush()
 }
 
-// known counts and refuses heartbeats and facts of lives that are not on the roster, and
-// tells them what the roster is, so that one that was taken off learns of it.
-func (m *Machine) known(from fleet.Ref, msg Message) bool {
+// admitSender reports whether a message's heartbeat and facts may be used. Those from
+// incarnations that are not on the roster are counted and rejected, and their heartbeats are
+// answered with the roster, so that an instance that was removed learns of it.
+func (m *Machine) admitSender(from fleet.Ref, msg Message) bool {
 	if msg.Heartbeat == nil && len(msg.Facts) == 0 {
 		return true
 	}
@@ -148,91 +149,92 @@
 		m.counters.Unknown++
 	}
 	if msg.Heartbeat != nil {
-		m.instruct(from, msg.Heartbeat.Generation)
+		m.replyToNonMember(from, msg.Heartbeat.Generation)
 	}
 	return false
 }
 
-// instruct sends the roster to an instance that is not on it, or asks for its higher one.
-func (m *Machine) instruct(to fleet.Ref, generation uint64) {
-	if m.now.Sub(m.replied[to]) < m.cfg.JoinInterval {
+// replyToNonMember sends the roster to an instance that is not on it, or requests its newer one.
+func (m *Machine) replyToNonMember(to fleet.Ref, generation uint64) {
+	if m.now.Sub(m.rosterSentAt[to]) < m.cfg.JoinInterval {
 		return
 	}
-	m.replied[to] = m.now
+	m.rosterSentAt[to] = m.now
 	if generation > m.roster.Generation {
-		m.sendTo(fleet.Instance{Ref: to}, Message{Ask: &Ask{Have: m.roster.Generation}})
+		m.sendTo(fleet.Instance{Ref: to}, Message{RosterRequest: &RosterRequest{NewerThan: m.roster.Generation}})
 		return
 	}
 	m.sendRoster(fleet.Instance{Ref: to})
 }
 
-func (m *Machine) deliverHeartbeat(from fleet.Ref, h Heartbeat) {
+func (m *Machine) handleHeartbeat(from fleet.Ref, h Heartbeat) {
 	l := m.links[from]
 	if l == nil {
-		m.catchUp(from, &link{instance: fleet.Instance{Ref: from}}, h.Generation)
+		m.requestNewerRoster(from, &link{instance: fleet.Instance{Ref: from}}, h.Generation)
 		return
 	}
-	l.heardAt = m.now
+	l.receivedAt = m.now
 	l.generation = h.Generation
 	l.revision = h.Revision
-	m.writer.wokeAt = time.Time{}
-	m.catchUp(from, l, h.Generation)
+	m.writer.pauseEndedAt = time.Time{}
+	m.requestNewerRoster(from, l, h.Generation)
 	m.compareFacts(l, h)
 }
 
-// catchUp asks a neighbour for its roster when that is of a higher generation.
-func (m *Machine) catchUp(from fleet.Ref, l *link, generation uint64) {
-	if generation <= m.roster.Generation || m.now.Sub(l.askedAt) < m.cfg.Heartbeat {
+// requestNewerRoster requests the sender's roster when its generation is higher.
+func (m *Machine) requestNewerRoster(from fleet.Ref, l *link, generation uint64) {
+	if generation <= m.roster.Generation || m.now.Sub(l.requestedAt) < m.cfg.Heartbeat {
 		return
 	}
-	l.askedAt = m.now
-	m.sendTo(l.instance, Message{Ask: &Ask{Have: m.roster.Generation}})
+	l.requestedAt = m.now
+	m.sendTo(l.instance, Message{RosterRequest: &RosterRequest{NewerThan: m.roster.Generation}})
 }
 
-// compareFacts sends all facts to a neighbour whose facts have differed for a while.
+// compareFacts queues all facts for a neighbour whose facts have differed for SyncInterval.
 func (m *Machine) compareFacts(l *link, h Heartbeat) {
 	if h.Digest == m.facts.digest || h.Generation != m.roster.Generation {
-		l.differs = time.Time{}
+		l.differsSince = time.Time{}
 		return
 	}
-	if l.differs.IsZero() {
-		l.differs = m.now
+	if l.differsSince.IsZero() {
+		l.differsSince = m.now
 		return
 	}
-	if m.now.Sub(l.differs) >= m.cfg.SyncInterval {
-		l.differs = m.now
+	if m.now.Sub(l.differsSince) >= m.cfg.SyncInterval {
+		l.differsSince = m.now
 		m.counters.Syncs++
 		m.outbox[l.instance.Ref] = m.facts.all()
 	}
 }
 
-// Tick must be called several times per heartbeat.
+// Tick runs the periodic work. It must be called several times per heartbeat interval.
 func (m *Machine) Tick(now time.Time) []Effect {
 	if m.stopped {
 		return nil
 	}
 	m.advance(now)
-	m.notePause()
-	m.beat()
-	m.vote()
+	m.detectPause()
+	m.sendHeartbeats()
+	m.updateVotes()
 	m.tickJoin()
 	m.refresh()
-	m.noteMissing()
+	m.updateMissing()
 	m.tickWriter()
 	m.sendFacts()
 	return m.flush()
 }
 
-// advance moves the machine's clock, which never goes back.
+// advance moves the machine's clock, which never runs backwards.
 func (m *Machine) advance(now time.Time) {
 	if now.After(m.now) {
 		m.now = now
 	}
 }
 
-// notePause starts the neighbours' silence anew after a time without ticks: it was this instance
-// that did not listen. It must hear a neighbour before it writes the roster.
-func (m *Machine) notePause() {
+// detectPause detects a gap between ticks, during which this instance received nothing. It
+// restarts the neighbours' timeouts, which would blame them for it, and requires a heartbeat
+// before this instance writes the roster again.
+func (m *Machine) detectPause() {
 	gap := m.now.Sub(m.lastTick)
 	paused := !m.lastTick.IsZero() && gap >= m.cfg.SuspectAfter/2
 	m.lastTick = m.now
@@ -240,17 +242,17 @@
 		return
 	}
 	m.counters.Pauses++
-	m.writer.wokeAt = m.now
+	m.writer.pauseEndedAt = m.now
 	for _, l := range m.links {
-		l.heardAt = m.now
+		l.receivedAt = m.now
 	}
-	for ref := range m.deadAt {
-		m.deadAt[ref] = m.now
+	for ref := range m.missingSince {
+		m.missingSince[ref] = m.now
 	}
 }
 
-// beat sends the heartbeats that are due.
-func (m *Machine) beat() {
+// sendHeartbeats sends the heartbeats that are due.
+func (m *Machine) sendHeartbeats() {
 	for _, n := range m.Neighbours() {
 		l := m.links[n.Ref]
 		if m.now.Sub(l.sentAt) < m.cfg.Heartbeat {
@@ -265,57 +267,57 @@
 	}
 }
 
-// vote says of each neighbour whether it is silent, when that has changed.
-func (m *Machine) vote() {
+// updateVotes casts a vote on each neighbour whose reachability has changed.
+func (m *Machine) updateVotes() {
 	for _, n := range m.Neighbours() {
-		silent := m.now.Sub(m.links[n.Ref].heardAt) >= m.cfg.SuspectAfter
-		if silent == m.facts.silentVote(n.Ref, m.self.Ref) {
+		unreachable := m.now.Sub(m.links[n.Ref].receivedAt) >= m.cfg.SuspectAfter
+		if unreachable == m.facts.votedUnreachable(n.Ref, m.self.Ref) {
 			continue
 		}
-		if silent {
+		if unreachable {
 			m.counters.Votes++
 		}
-		m.cast(n.Ref, silent)
+		m.castVote(n.Ref, unreachable)
 	}
 }
 
-func (m *Machine) cast(subject fleet.Ref, silent bool) {
-	m.counts[subject]++
-	m.learn(m.self.Ref, Fact{Kind: FactVote, Subject: subject, Voter: m.self.Ref, Count: m.counts[subject], Silent: silent})
+func (m *Machine) castVote(subject fleet.Ref, unreachable bool) {
+	m.voteVersions[subject]++
+	m.mergeAndForward(m.self.Ref, Fact{Kind: FactVote, Subject: subject, Voter: m.self.Ref, Version: m.voteVersions[subject], Unreachable: unreachable})
 }
 
 // Leave announces that this instance is stopping.
 func (m *Machine) Leave(now time.Time) []Effect {
 	m.advance(now)
 	m.leaving = true
-	if m.join.done {
-		m.learn(m.self.Ref, Fact{Kind: FactLeaving, Subject: m.self.Ref, Count: 1})
+	if m.join.joined {
+		m.mergeAndForward(m.self.Ref, Fact{Kind: FactLeaving, Subject: m.self.Ref, Version: 1})
 	}
 	m.sendFacts()
 	return m.flush()
 }
 
-// Gone announces that this instance has stopped and ends the machine. The writers take it off the roster.
-func (m *Machine) Gone(now time.Time) []Effect {
+// Stop announces that this instance has stopped and ends the machine. The writers remove it from the roster.
+func (m *Machine) Stop(now time.Time) []Effect {
 	m.advance(now)
 	m.leaving = true
-	if m.join.done {
-		m.learn(m.self.Ref, Fact{Kind: FactGone, Subject: m.self.Ref, Count: 1})
+	if m.join.joined {
+		m.mergeAndForward(m.self.Ref, Fact{Kind: FactStopped, Subject: m.self.Ref, Version: 1})
 	}
 	m.sendFacts()
 	m.stopped = true
 	return m.flush()
 }
 
-// Listed takes the platform's list of instances: a hint of who could be asked to join, and
-// which of those that nobody hears were replaced for good.
-func (m *Machine) Listed(now time.Time, instances []fleet.Instance) []Effect {
+// InstancesListed passes in the platform's list of instances. It supplies targets for join
+// requests, and shows which unreachable instances no longer exist.
+func (m *Machine) InstancesListed(now time.Time, instances []fleet.Instance) []Effect {
 	m.advance(now)
-	m.listed = make(map[fleet.InstanceID]fleet.Incarnation, len(instances))
+	m.platformList = make(map[fleet.InstanceID]fleet.Incarnation, len(instances))
 	for _, i := range instances {
-		m.listed[i.Ref.ID] = i.Ref.Incarnation
+		m.platformList[i.Ref.ID] = i.Ref.Incarnation
 	}
-	m.join.hints = slices.Clone(instances)
+	m.join.seeds = slices.Clone(instances)
 	return m.flush()
 }
 
@@ -336,17 +338,17 @@
 	m.sendTo(to, Message{Roster: &r})
 }
 
-// refresh works out the members anew when something has changed.
+// refresh recomputes the members when something has changed.
 func (m *Machine) refresh() {
-	if !m.stale {
+	if !m.membersStale {
 		return
 	}
-	m.stale = false
-	m.members = m.work()
+	m.membersStale = false
+	m.members = m.computeMembers()
 	m.emit(Changed{})
 }
 
-// flush returns the effects gathered since the last flush.
+// flush returns the effects collected since the last flush.
 func (m *Machine) flush() []Effect {
 	effects := m.effects
 	m.effects = nil
--- a/coord/membership/overlay.go
+++ b/coord/membership/overlay.go
@@ -8,17 +8,17 @@
 	"github.com/damaskcove/damaskcove/coord/internal/mix"
 )
 
-// globalRings is the number of rings over the whole fleet; with the zone's own ring an
-// instance has at most twice as many neighbours as it is on rings.
+// globalRings is the number of rings over the whole fleet. Together with the ring of its zone
+// an instance is on globalRings+1 rings and has at most two neighbours on each.
 const globalRings = 3
 
-// overlay is who is whose neighbour, for one roster.
+// overlay is the neighbour graph of one roster.
 type overlay struct {
 	neighbours map[fleet.Ref][]fleet.Instance
 }
 
-// newOverlay lays the rings. Each ring orders its instances by a hash of its own, so that
-// one join or departure changes the neighbours of two instances on each ring.
+// newOverlay builds the rings. Each ring orders its instances by a differently salted hash of
+// their IDs, so that one join or departure changes the neighbours of two instances on each ring.
 func newOverlay(instances []fleet.Instance) *overlay {
 	o := &overlay{neighbours: make(map[fleet.Ref][]fleet.Instance, len(instances))}
 	zones := make(map[fleet.Zone][]fleet.Instance)
@@ -45,29 +45,29 @@
 			cmp.Compare(a.Ref.ID, b.Ref.ID))
 	})
 	for k := range ring {
-		o.link(ring[k], ring[(k+1)%len(ring)])
+		o.connect(ring[k], ring[(k+1)%len(ring)])
 	}
 }
 
-func (o *overlay) link(a, b fleet.Instance) {
+func (o *overlay) connect(a, b fleet.Instance) {
 	if a.Ref == b.Ref {
 		return
 	}
-	o.add(a.Ref, b)
-	o.add(b.Ref, a)
+	o.addNeighbour(a.Ref, b)
+	o.addNeighbour(b.Ref, a)
 }
 
-func (o *overlay) add(of fleet.Ref, neighbour fleet.Instance) {
-	for _, known := range o.neighbours[of] {
-		if known.Ref == neighbour.Ref {
+func (o *overlay) addNeighbour(ref fleet.Ref, neighbour fleet.Instance) {
+	for _, existing := range o.neighbours[ref] {
+		if existing.Ref == neighbour.Ref {
 			return
 		}
 	}
-	o.neighbours[of] = append(o.neighbours[of], neighbour)
+	o.neighbours[ref] = append(o.neighbours[ref], neighbour)
 }
 
-// of returns the neighbours of an instance; they alone vote on it.
-func (o *overlay) of(r fleet.Ref) []fleet.Instance {
+// neighboursOf returns the neighbours of an instance. Only they vote on it.
+func (o *overlay) neighboursOf(r fleet.Ref) []fleet.Instance {
 	return o.neighbours[r]
 }
 
--- a/coord/membership/property_test.go
+++ b/coord/membership/property_test.go
@@ -9,163 +9,163 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// watchful is a world that knows which instances a majority of their neighbours have heard
-// at all times.
-type watchful struct {
-	*world
-	harmed     map[fleet.InstanceID]bool // Was at some time not heard by such a majority.
-	generation map[fleet.InstanceID]uint64
-	stored     uint64
-	overlay    *overlay // Of the stored roster.
+// checkedSimulation is a simulation that tracks which instances at least half of their
+// neighbours could receive from at all times. These must never be evicted.
+type checkedSimulation struct {
+	*simulation
+	mayBeEvicted     map[fleet.InstanceID]bool // Some time, more than half of its neighbours could not receive from it.
+	generation       map[fleet.InstanceID]uint64
+	storedGeneration uint64
+	overlay          *overlay // Of the stored roster; nil before the first check.
 }
 
-// note updates what is known and checks what must hold after every event.
-func (w *watchful) note() {
-	w.t.Helper()
-	if w.overlay == nil || w.stored != w.store.Generation {
-		w.overlay = newOverlay(w.store.Instances)
+// checkInvariants updates mayBeEvicted and checks what must hold after every event.
+func (sim *checkedSimulation) checkInvariants() {
+	sim.t.Helper()
+	if sim.overlay == nil || sim.storedGeneration != sim.store.Generation {
+		sim.overlay = newOverlay(sim.store.Instances)
 	}
-	o := w.overlay
-	for _, i := range w.store.Instances {
-		if !w.majorityHears(o, i.Ref) {
-			w.harmed[i.Ref.ID] = true
+	o := sim.overlay
+	for _, i := range sim.store.Instances {
+		if !sim.reachableByHalf(o, i.Ref) {
+			sim.mayBeEvicted[i.Ref.ID] = true
 		}
 	}
-	for _, id := range w.order {
-		p := w.running[id]
-		if p == nil || p.over {
+	for _, id := range sim.ids {
+		p := sim.running[id]
+		if p == nil || p.superseded {
 			continue
 		}
-		w.checkView(id, p)
+		sim.checkView(id, p)
 	}
-	if w.store.Generation < w.stored {
-		w.t.Fatalf("stored generation fell from %d to %d", w.stored, w.store.Generation)
+	if sim.store.Generation < sim.storedGeneration {
+		sim.t.Fatalf("stored generation fell from %d to %d", sim.storedGeneration, sim.store.Generation)
 	}
-	w.stored = w.store.Generation
+	sim.storedGeneration = sim.store.Generation
 }
 
-func (w *watchful) majorityHears(o *overlay, r fleet.Ref) bool {
-	p := w.running[r.ID]
+func (sim *checkedSimulation) reachableByHalf(o *overlay, r fleet.Ref) bool {
+	p := sim.running[r.ID]
 	if p == nil || p.paused {
 		return false
 	}
-	neighbours := o.of(r)
-	hear := 0
+	neighbours := o.neighboursOf(r)
+	receiving := 0
 	for _, n := range neighbours {
-		q := w.running[n.Ref.ID]
-		if q != nil && !q.paused && !w.cut[[2]fleet.InstanceID{r.ID, n.Ref.ID}] {
-			hear++
+		q := sim.running[n.Ref.ID]
+		if q != nil && !q.paused && !sim.blocked[[2]fleet.InstanceID{r.ID, n.Ref.ID}] {
+			receiving++
 		}
 	}
-	return 2*hear >= len(neighbours)
+	return 2*receiving >= len(neighbours)
 }
 
-func (w *watchful) checkView(id fleet.InstanceID, p *process) {
-	w.t.Helper()
+func (sim *checkedSimulation) checkView(id fleet.InstanceID, p *process) {
+	sim.t.Helper()
 	m := p.machine
-	if m.roster.Generation < w.generation[id] {
-		w.t.Fatalf("%s went from generation %d to %d", id, w.generation[id], m.roster.Generation)
+	if m.roster.Generation < sim.generation[id] {
+		sim.t.Fatalf("%s went from generation %d to %d", id, sim.generation[id], m.roster.Generation)
 	}
-	w.generation[id] = m.roster.Generation
-	if p.rejoins > 0 && !w.harmed[id] {
-		w.t.Fatalf("%s was evicted though a majority of its neighbours heard it", id)
+	sim.generation[id] = m.roster.Generation
+	if p.rejoins > 0 && !sim.mayBeEvicted[id] {
+		sim.t.Fatalf("%s was evicted although at least half of its neighbours could receive from it", id)
 	}
 	for _, member := range m.Members() {
-		if member.Status == StatusDead && !w.harmed[member.Instance.Ref.ID] {
-			w.t.Fatalf("%s holds %v for dead though a majority of its neighbours heard it", id, member.Instance.Ref)
+		if member.Status == StatusDead && !sim.mayBeEvicted[member.Instance.Ref.ID] {
+			sim.t.Fatalf("%s considers %v dead although at least half of its neighbours could receive from it", id, member.Instance.Ref)
 		}
 	}
 }
 
-func (w *watchful) walk(t *rapid.T) {
+func (sim *checkedSimulation) runTicks(t *rapid.T) {
 	for range rapid.IntRange(1, 60).Draw(t, "ticks") {
-		w.step()
-		w.note()
+		sim.step()
+		sim.checkInvariants()
 	}
 }
 
-func TestNobodyHeardByAMajorityIsEvicted(t *testing.T) {
+func TestInstanceReachableByHalfIsNotEvicted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(2, 14).Draw(t, "instances")
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
-		w := &watchful{world: newWorld(t, size, zones), harmed: map[fleet.InstanceID]bool{}, generation: map[fleet.InstanceID]uint64{}}
-		w.settle(3 * time.Second)
-		any := func(t *rapid.T) fleet.InstanceID { return rapid.SampledFrom(w.order).Draw(t, "instance") }
+		sim := &checkedSimulation{simulation: newSimulation(t, size, zones), mayBeEvicted: map[fleet.InstanceID]bool{}, generation: map[fleet.InstanceID]uint64{}}
+		sim.runFor(3 * time.Second)
+		randomID := func(t *rapid.T) fleet.InstanceID { return rapid.SampledFrom(sim.ids).Draw(t, "instance") }
 		next := size
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(*rapid.T) { w.note() },
+			"": func(*rapid.T) { sim.checkInvariants() },
 			"cut": func(t *rapid.T) {
-				w.cut[[2]fleet.InstanceID{any(t), any(t)}] = true
+				sim.blocked[[2]fleet.InstanceID{randomID(t), randomID(t)}] = true
 			},
 			"mute": func(t *rapid.T) {
-				from := any(t)
-				for _, to := range w.order {
+				from := randomID(t)
+				for _, to := range sim.ids {
 					if rapid.Bool().Draw(t, "cut") {
-						w.cut[[2]fleet.InstanceID{from, to}] = true
+						sim.blocked[[2]fleet.InstanceID{from, to}] = true
 					}
 				}
 			},
-			"heal":  func(*rapid.T) { clear(w.cut) },
-			"away":  func(*rapid.T) { w.away = true },
-			"back":  func(*rapid.T) { w.away = false },
-			"lose":  func(*rapid.T) { w.loseNext = true },
-			"pause": func(t *rapid.T) { w.pause(any(t), true) },
-			"wake":  func(t *rapid.T) { w.pause(any(t), false) },
+			"heal":  func(*rapid.T) { clear(sim.blocked) },
+			"away":  func(*rapid.T) { sim.storeDown = true },
+			"back":  func(*rapid.T) { sim.storeDown = false },
+			"lose":  func(*rapid.T) { sim.loseNextReply = true },
+			"pause": func(t *rapid.T) { sim.pause(randomID(t), true) },
+			"wake":  func(t *rapid.T) { sim.pause(randomID(t), false) },
 			"crash": func(t *rapid.T) {
-				id := any(t)
-				w.harmed[id] = true
-				w.running[id] = nil
+				id := randomID(t)
+				sim.mayBeEvicted[id] = true
+				sim.running[id] = nil
 			},
 			"join": func(*rapid.T) {
-				w.start(instanceOf(next, zones))
-				w.harmed[w.order[len(w.order)-1]] = false
+				sim.start(instanceOf(next, zones))
+				sim.mayBeEvicted[sim.ids[len(sim.ids)-1]] = false
 				next++
 			},
-			"double": func(*rapid.T) { w.inbox = append(w.inbox, w.inbox...) },
-			"late":   func(t *rapid.T) { w.inbox = rapid.Permutation(w.inbox).Draw(t, "order") },
-			"walk":   w.walk,
+			"double": func(*rapid.T) { sim.inFlight = append(sim.inFlight, sim.inFlight...) },
+			"late":   func(t *rapid.T) { sim.inFlight = rapid.Permutation(sim.inFlight).Draw(t, "order") },
+			"walk":   sim.runTicks,
 		})
-		w.recover()
+		sim.recoverAndCheck()
 	})
 }
 
-func (w *watchful) pause(id fleet.InstanceID, paused bool) {
-	if p := w.running[id]; p != nil {
+func (sim *checkedSimulation) pause(id fleet.InstanceID, paused bool) {
+	if p := sim.running[id]; p != nil {
 		p.paused = paused
-		w.harmed[id] = true
+		sim.mayBeEvicted[id] = true
 	}
 }
 
-// list hands every machine the platform's list of what runs.
-func (w *watchful) list() {
+// sendPlatformList passes the platform's list of running instances to every machine.
+func (sim *checkedSimulation) sendPlatformList() {
 	var running []fleet.Instance
-	for _, id := range w.order {
-		if p := w.running[id]; p != nil {
+	for _, id := range sim.ids {
+		if p := sim.running[id]; p != nil {
 			running = append(running, p.machine.Self())
 		}
 	}
 	for _, i := range running {
-		w.run(i.Ref.ID, w.running[i.Ref.ID].machine.Listed(w.now, running))
+		sim.run(i.Ref.ID, sim.running[i.Ref.ID].machine.InstancesListed(sim.now, running))
 	}
 }
 
-// recover ends every fault and requires that all agree again.
-func (w *watchful) recover() {
-	w.t.Helper()
-	clear(w.cut)
-	w.away, w.loseNext = false, false
+// recoverAndCheck ends every fault and requires that all machines converge.
+func (sim *checkedSimulation) recoverAndCheck() {
+	sim.t.Helper()
+	clear(sim.blocked)
+	sim.storeDown, sim.loseNextReply = false, false
 	running := 0
-	for _, id := range w.order {
-		w.pause(id, false)
-		if w.running[id] != nil {
+	for _, id := range sim.ids {
+		sim.pause(id, false)
+		if sim.running[id] != nil {
 			running++
 		}
 	}
 	if running == 0 {
 		return
 	}
-	w.list()
-	w.settle(3 * time.Minute)
-	w.agreed()
-	w.allAlive()
+	sim.sendPlatformList()
+	sim.runFor(3 * time.Minute)
+	sim.requireConverged()
+	sim.requireAllAlive()
 }
--- a/coord/membership/roster.go
+++ b/coord/membership/roster.go
@@ -11,13 +11,13 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// MaxInstances bounds the instances of a roster, so that its record fits the store.
+// MaxInstances bounds the instances of a roster, so that the record fits into a value of the store.
 const MaxInstances = 4096
 
-// ErrMalformed says that a roster or a message does not decode or contradicts itself.
+// ErrMalformed means that a roster or a message does not decode or is inconsistent.
 var ErrMalformed = errors.New("roster malformed")
 
-// EncodeRoster returns the bytes of a roster.
+// EncodeRoster returns a roster in CBOR.
 func EncodeRoster(r Roster) ([]byte, error) {
 	data, err := cbor.Marshal(r)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return data, nil
 }
 
-// DecodeRoster returns the roster in data. It returns ErrMalformed.
+// DecodeRoster decodes a roster. It returns ErrMalformed when data is invalid.
 func DecodeRoster(data []byte) (Roster, error) {
 	var r Roster
 	if err := cbor.Unmarshal(data, &r); err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Find returns the instance of an ID.
+// Find returns the instance with an ID.
 func (r Roster) Find(id fleet.InstanceID) (fleet.Instance, bool) {
 	i, ok := slices.BinarySearchFunc(r.Instances, id, func(e fleet.Instance, id fleet.InstanceID) int {
 		return cmp.Compare(e.Ref.ID, id)
@@ -58,13 +58,13 @@
 	return r.Instances[i], true
 }
 
-// Has reports whether one life of an instance is on the roster.
+// Has reports whether one incarnation of an instance is on the roster.
 func (r Roster) Has(ref fleet.Ref) bool {
 	i, ok := r.Find(ref.ID)
 	return ok && i.Ref == ref
 }
 
-// digest depends on every life on the roster.
+// digest returns the XOR of a hash of every instance and incarnation on the roster.
 func (r Roster) digest() uint64 {
 	var d uint64
 	for _, i := range r.Instances {
@@ -73,7 +73,7 @@
 	return d
 }
 
-// with returns the next generation with instances added, which replace former lives, and others removed.
+// with returns the next generation with some instances added, which replace earlier incarnations, and others removed.
 func (r Roster) with(added []fleet.Instance, removed []fleet.Ref) Roster {
 	byID := make(map[fleet.InstanceID]fleet.Instance, len(r.Instances)+len(added))
 	for _, i := range r.Instances {
@@ -95,7 +95,7 @@
 	return next
 }
 
-// deltaTo returns what leads from r to the next generation.
+// deltaTo returns the difference between r and a later roster.
 func (r Roster) deltaTo(next Roster) Delta {
 	d := Delta{Generation: next.Generation, Digest: next.digest()}
 	for _, i := range next.Instances {
--- a/coord/membership/view.go
+++ b/coord/membership/view.go
@@ -2,25 +2,25 @@
 
 import "github.com/damaskcove/damaskcove/coord/fleet"
 
-// Members returns every instance of the roster with its status. The slice must not be changed.
+// Members returns every instance of the roster with its status. The slice must not be modified.
 func (m *Machine) Members() []Member {
 	return m.members
 }
 
-// working reports whether a member may be given work.
-func (m Member) working() bool {
-	return m.Heard && (m.Status == StatusAlive || m.Status == StatusSuspect)
+// available reports whether a member is reachable, running and not leaving, and may therefore be a writer.
+func (m Member) available() bool {
+	return m.Reachable && (m.Status == StatusAlive || m.Status == StatusSuspect)
 }
 
-// work works out the members from the roster and the facts.
-func (m *Machine) work() []Member {
+// computeMembers derives the members from the roster and the facts.
+func (m *Machine) computeMembers() []Member {
 	members := make([]Member, len(m.roster.Instances))
 	var reached map[fleet.Ref]bool
-	if m.join.done && len(m.facts.silent) > 0 {
+	if m.join.joined && len(m.facts.unreachableVotes) > 0 {
 		reached = m.reachable()
 	}
 	for k, i := range m.roster.Instances {
-		members[k] = Member{Instance: i, Status: m.status(i.Ref), Heard: reached == nil || reached[i.Ref]}
+		members[k] = Member{Instance: i, Status: m.status(i.Ref), Reachable: reached == nil || reached[i.Ref]}
 		if l := m.links[i.Ref]; l != nil {
 			members[k].Revision = l.revision
 		}
@@ -29,23 +29,22 @@
 }
 
 func (m *Machine) status(r fleet.Ref) Status {
-	silent := m.facts.silent[r]
+	votes := m.facts.unreachableVotes[r]
 	switch {
-	case m.facts.has(FactGone, r):
+	case m.facts.has(FactStopped, r):
 		return StatusDead
-	case silent > 0 && 2*silent > len(m.overlay.of(r)):
+	case votes > 0 && 2*votes > len(m.overlay.neighboursOf(r)):
 		return StatusDead
 	case m.facts.has(FactLeaving, r):
 		return StatusLeaving
-	case silent > 0:
+	case votes > 0:
 		return StatusSuspect
 	default:
 		return StatusAlive
 	}
 }
 
-// reachable returns the lives that can be reached from this instance over overlay edges of
-// which neither end says that it does not hear the other.
+// reachable returns the instances that can be reached from this one over working overlay links.
 func (m *Machine) reachable() map[fleet.Ref]bool {
 	reached := make(map[fleet.Ref]bool, len(m.roster.Instances))
 	reached[m.self.Ref] = true
@@ -53,8 +52,8 @@
 	for len(queue) > 0 {
 		at := queue[0]
 		queue = queue[1:]
-		for _, n := range m.overlay.of(at) {
-			if !reached[n.Ref] && m.works(at, n.Ref) {
+		for _, n := range m.overlay.neighboursOf(at) {
+			if !reached[n.Ref] && m.connected(at, n.Ref) {
 				reached[n.Ref] = true
 				queue = append(queue, n.Ref)
 			}
@@ -63,29 +62,29 @@
 	return reached
 }
 
-// works reports whether neither of two neighbours votes against the other.
-func (m *Machine) works(a, b fleet.Ref) bool {
-	if m.facts.silent[a]+m.facts.silent[b] == 0 {
+// connected reports whether neither of two neighbours votes the other unreachable.
+func (m *Machine) connected(a, b fleet.Ref) bool {
+	if m.facts.unreachableVotes[a]+m.facts.unreachableVotes[b] == 0 {
 		return true
 	}
-	return !m.facts.silentVote(a, b) && !m.facts.silentVote(b, a)
+	return !m.facts.votedUnreachable(a, b) && !m.facts.votedUnreachable(b, a)
 }
 
-// noteMissing records since when each member is dead or unheard.
-func (m *Machine) noteMissing() {
+// updateMissing records when each member became dead or unreachable.
+func (m *Machine) updateMissing() {
 	for _, member := range m.members {
 		ref := member.Instance.Ref
-		if member.Status != StatusDead && member.Heard {
-			delete(m.deadAt, ref)
+		if member.Status != StatusDead && member.Reachable {
+			delete(m.missingSince, ref)
 			continue
 		}
-		if _, noted := m.deadAt[ref]; !noted {
-			m.deadAt[ref] = m.now
+		if _, recorded := m.missingSince[ref]; !recorded {
+			m.missingSince[ref] = m.now
 		}
 	}
-	for ref := range m.deadAt {
+	for ref := range m.missingSince {
 		if !m.roster.Has(ref) {
-			delete(m.deadAt, ref)
+			delete(m.missingSince, ref)
 		}
 	}
 }
--- a/coord/membership/writer.go
+++ b/coord/membership/writer.go
@@ -10,147 +10,147 @@
 	"github.com/damaskcove/damaskcove/coord/internal/mix"
 )
 
-// writerState is this instance's part in writing the roster.
+// writerState is the state of writing the roster.
 type writerState struct {
-	wokeAt  time.Time // End of the last pause; zero once a neighbour was heard after it.
-	due     time.Time // Since when the roster should change.
-	busy    bool      // A call of the store is under way.
-	busyAt  time.Time
-	wroteAt time.Time
-	retryAt time.Time
-	backoff time.Duration
+	pauseEndedAt  time.Time // End of the last pause; zero once a heartbeat was received after it.
+	pendingSince  time.Time // When a change of the roster became due; zero when there is none.
+	callInFlight  bool      // A store call is in flight.
+	callStartedAt time.Time
+	wroteAt       time.Time
+	retryAt       time.Time
+	backoff       time.Duration
 }
 
-// stormMinimum is the number of missing instances up to which there is no storm.
-const stormMinimum = 2
+// massFailureMinimum is the number of missing instances up to which there is no mass failure, whatever their share.
+const massFailureMinimum = 2
 
-// callTimeout is the time after which a call of the store is taken to have been lost.
-const callTimeout = 30 * time.Second
+// storeCallTimeout is the time after which a store call is considered lost.
+const storeCallTimeout = 30 * time.Second
 
-// tickWriter writes the roster when that is due and this instance's turn.
+// tickWriter writes the roster when a change is due and it is this instance's turn.
 func (m *Machine) tickWriter() {
-	added, removed := m.changes()
+	added, removed := m.pendingChanges()
 	if len(added)+len(removed) == 0 {
-		m.writer.due = time.Time{}
+		m.writer.pendingSince = time.Time{}
 		return
 	}
-	if m.writer.due.IsZero() {
-		m.writer.due = m.now
+	if m.writer.pendingSince.IsZero() {
+		m.writer.pendingSince = m.now
 	}
-	if !m.mayCall() || !m.turn() || m.now.Sub(m.writer.wroteAt) < m.cfg.WriteInterval {
+	if !m.mayCallStore() || !m.isMyTurn() || m.now.Sub(m.writer.wroteAt) < m.cfg.WriteInterval {
 		return
 	}
-	m.writer.busy = true
-	m.writer.busyAt = m.now
+	m.writer.callInFlight = true
+	m.writer.callStartedAt = m.now
 	m.writer.wroteAt = m.now
 	m.counters.RosterWrites++
 	m.emit(WriteRoster{Roster: m.roster.with(added, removed)})
 }
 
-func (m *Machine) mayCall() bool {
-	if m.writer.busy && m.now.Sub(m.writer.busyAt) < callTimeout {
+func (m *Machine) mayCallStore() bool {
+	if m.writer.callInFlight && m.now.Sub(m.writer.callStartedAt) < storeCallTimeout {
 		return false
 	}
 	return !m.now.Before(m.writer.retryAt)
 }
 
-// turn reports whether it is this instance's turn to write.
-func (m *Machine) turn() bool {
-	if !m.join.done {
-		return m.mayWriteItself()
+// isMyTurn reports whether it is this instance's turn to write the roster.
+func (m *Machine) isMyTurn() bool {
+	if !m.join.joined {
+		return m.mayAddSelf()
 	}
-	if m.leaving || m.waking() {
+	if m.leaving || m.recentlyPaused() {
 		return false
 	}
 	rank := m.writerRank()
 	if rank < 0 {
 		return false
 	}
-	return m.now.Sub(m.writer.due) >= m.cfg.BatchInterval+time.Duration(rank)*m.cfg.WriterStep
+	return m.now.Sub(m.writer.pendingSince) >= m.cfg.BatchInterval+time.Duration(rank)*m.cfg.WriterStagger
 }
 
-// waking reports whether this instance was paused a short time ago and has heard no neighbour since.
-func (m *Machine) waking() bool {
-	return !m.writer.wokeAt.IsZero() && m.now.Sub(m.writer.wokeAt) < 2*m.cfg.SuspectAfter
+// recentlyPaused reports whether this instance was paused a short time ago and has received no heartbeat since.
+func (m *Machine) recentlyPaused() bool {
+	return !m.writer.pauseEndedAt.IsZero() && m.now.Sub(m.writer.pauseEndedAt) < 2*m.cfg.SuspectAfter
 }
 
-// writerRank returns this instance's place among the writers, or -1 when it is none of them.
+// writerRank returns this instance's rank among the writers, or -1 when it is not one of them.
 func (m *Machine) writerRank() int {
 	candidates := make([]fleet.Ref, 0, len(m.members))
 	for _, member := range m.members {
-		if member.Instance.Ref == m.self.Ref || member.working() {
+		if member.Instance.Ref == m.self.Ref || member.available() {
 			candidates = append(candidates, member.Instance.Ref)
 		}
 	}
 	slices.SortFunc(candidates, func(a, b fleet.Ref) int {
-		return cmp.Compare(mix.Mix(hashID(a.ID)^writers), mix.Mix(hashID(b.ID)^writers))
+		return cmp.Compare(mix.Mix(hashID(a.ID)^maxWriters), mix.Mix(hashID(b.ID)^maxWriters))
 	})
 	rank := slices.Index(candidates, m.self.Ref)
-	if rank >= writers {
+	if rank >= maxWriters {
 		return -1
 	}
 	return rank
 }
 
-// changes returns what the roster should gain and lose.
-func (m *Machine) changes() ([]fleet.Instance, []fleet.Ref) {
+// pendingChanges returns the instances to add to the roster and to remove from it.
+func (m *Machine) pendingChanges() ([]fleet.Instance, []fleet.Ref) {
 	var removed []fleet.Ref
-	added := m.facts.joins()
-	if m.mayWriteItself() {
+	added := m.facts.joinRequests()
+	if m.mayAddSelf() {
 		added = append(added, m.self)
 	}
-	if len(m.deadAt) == 0 {
+	if len(m.missingSince) == 0 {
 		return added, nil
 	}
-	storm := float64(len(m.deadAt)) > max(stormMinimum, m.cfg.StormShare*float64(len(m.roster.Instances)))
+	massFailure := float64(len(m.missingSince)) > max(massFailureMinimum, m.cfg.MassFailureShare*float64(len(m.roster.Instances)))
 	for _, member := range m.members {
-		if m.strikes(member, storm) {
+		if m.shouldRemove(member, massFailure) {
 			removed = append(removed, member.Instance.Ref)
 		}
 	}
 	return added, removed
 }
 
-// strikes reports whether a member is to be taken off the roster.
-func (m *Machine) strikes(member Member, storm bool) bool {
+// shouldRemove reports whether a member is to be removed from the roster.
+func (m *Machine) shouldRemove(member Member, massFailure bool) bool {
 	ref := member.Instance.Ref
-	since, missing := m.deadAt[ref]
+	since, missing := m.missingSince[ref]
 	if !missing || ref == m.self.Ref {
 		return false
 	}
-	if m.facts.has(FactGone, ref) {
+	if m.facts.has(FactStopped, ref) {
 		return true
 	}
 	missingFor := m.now.Sub(since)
-	if missingFor < m.cfg.StrikeAfter {
+	if missingFor < m.cfg.RemoveAfter {
 		return false
 	}
-	if !member.Heard && m.unlisted(ref) {
+	if !member.Reachable && m.notOnPlatform(ref) {
 		return true
 	}
-	return member.Status == StatusDead && (!storm || missingFor >= m.cfg.StormStrikeAfter)
+	return member.Status == StatusDead && (!massFailure || missingFor >= m.cfg.MassFailureRemoveAfter)
 }
 
-// unlisted reports whether the platform's list has been read and has no such instance.
-func (m *Machine) unlisted(r fleet.Ref) bool {
-	if m.listed == nil {
+// notOnPlatform reports whether the platform's list has been received and does not contain an instance.
+func (m *Machine) notOnPlatform(r fleet.Ref) bool {
+	if m.platformList == nil {
 		return false
 	}
-	_, listed := m.listed[r.ID]
+	_, listed := m.platformList[r.ID]
 	return !listed
 }
 
-// RosterWritten takes the outcome of WriteRoster.
+// RosterWritten handles the outcome of WriteRoster.
 func (m *Machine) RosterWritten(now time.Time, r Roster, err error) []Effect {
 	if m.stopped {
 		return nil
 	}
 	m.advance(now)
-	m.writer.busy = false
+	m.writer.callInFlight = false
 	switch {
 	case err == nil:
 		m.writer.backoff = 0
-		m.take(r)
+		m.applyRoster(r)
 	case errors.Is(err, ErrConflict), errors.Is(err, ErrUnknownResult):
 		m.counters.Conflicts++
 		m.readRoster()
@@ -160,36 +160,36 @@
 	return m.flush()
 }
 
-// RosterRead takes the outcome of ReadRoster. A zero roster says that the store holds none.
+// RosterRead handles the outcome of ReadRoster. A zero roster means that the store has none.
 func (m *Machine) RosterRead(now time.Time, r Roster, err error) []Effect {
 	if m.stopped {
 		return nil
 	}
 	m.advance(now)
-	m.writer.busy = false
+	m.writer.callInFlight = false
 	if err != nil {
 		m.backOff()
 		return m.flush()
 	}
 	m.writer.backoff = 0
-	m.join.read = true
+	m.join.storeRead = true
 	if r.Generation > 0 {
-		m.take(r)
+		m.applyRoster(r)
 	}
 	return m.flush()
 }
 
 func (m *Machine) readRoster() {
-	if !m.mayCall() {
+	if !m.mayCallStore() {
 		return
 	}
-	m.writer.busy = true
-	m.writer.busyAt = m.now
+	m.writer.callInFlight = true
+	m.writer.callStartedAt = m.now
 	m.counters.RosterReads++
 	m.emit(ReadRoster{})
 }
 
-// backOff waits before the next call of the store: twice as long each time, by a random part.
+// backOff delays the next store call with jittered exponential backoff.
 func (m *Machine) backOff() {
 	m.writer.backoff = min(max(2*m.writer.backoff, m.cfg.RetryMin), m.cfg.RetryMax)
 	half := int64(m.writer.backoff / 2)
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -109,7 +109,7 @@
 // Listed takes the platform's list whenever it was read. It must run on the control goroutine.
 func (d *Duty) Listed(now time.Time, instances []fleet.Instance) {
 	d.noteHints(instances)
-	d.run(now, d.machine.Listed(now, instances))
+	d.run(now, d.machine.InstancesListed(now, instances))
 }
 
 // SetRevision sets the configuration revision in force here. It must run on the control goroutine.
@@ -120,7 +120,7 @@
 // Ahead returns the neighbour with the highest configuration above this instance's.
 // It must run on the control goroutine.
 func (d *Duty) Ahead() (fleet.Instance, fleet.Revision, bool) {
-	return d.machine.Ahead()
+	return d.machine.NeighbourAhead()
 }
 
 // Neighbours returns the instances that this one exchanges heartbeats with. It must run on
@@ -141,7 +141,7 @@
 
 // Gone announces that this instance exits now. It must run on the control goroutine.
 func (d *Duty) Gone(now time.Time) {
-	d.run(now, d.machine.Gone(now))
+	d.run(now, d.machine.Stop(now))
 }
 
 // Kinds implements control.Duty.
@@ -257,7 +257,7 @@
 func working(members []membership.Member) []fleet.Instance {
 	instances := make([]fleet.Instance, 0, len(members))
 	for _, m := range members {
-		if m.Heard && (m.Status == membership.StatusAlive || m.Status == membership.StatusSuspect) {
+		if m.Reachable && (m.Status == membership.StatusAlive || m.Status == membership.StatusSuspect) {
 			instances = append(instances, m.Instance)
 		}
 	}
