--- a/cmd/damaskctl/apply.go
+++ b/cmd/damaskctl/apply.go
@@ -166,7 +166,7 @@
 // explain returns the error of an apply; with an unknown write before, only a conflict or a fault says
 // that nothing was changed.
 func (s *notingStore) explain(err error, changeID string) error {
-	if !s.unknown || errors.Is(err, operate.ErrConflict) || errors.Is(err, rollout.ErrFaults) {
+	if !s.unknown || errors.Is(err, operate.ErrConflict) || errors.Is(err, rollout.ErrInvalid) {
 		return err
 	}
 	return fmt.Errorf("%w: the change may have been accepted; run again with --change-id %s: %w", metastore.ErrUnknownResult, changeID, err)
--- a/cmd/damaskctl/fail.go
+++ b/cmd/damaskctl/fail.go
@@ -72,7 +72,7 @@
 	}
 	var faults *tomlfile.Error
 	switch {
-	case errors.As(err, &faults), errors.Is(err, rollout.ErrFaults):
+	case errors.As(err, &faults), errors.Is(err, rollout.ErrInvalid):
 		return &failure{exit: exitFaults, code: result.CodeConfigFault, err: err}
 	case errors.Is(err, operate.ErrConflict):
 		return &failure{exit: exitConflict, code: result.CodeConfigConflict, err: err}
--- a/coord/rollout/bench_test.go
+++ b/coord/rollout/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// size is how much is configured.
+// size is the size of a configuration.
 type size struct{ services, routes, accounts int }
 
 var sizes = []size{{3, 30, 900}, {68, 725, 19750}, {135, 1450, 39500}, {270, 2900, 79000}}
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("services=%d,accounts=%d", s.services, s.accounts)
 }
 
-// everything is one change that configures all of a size; each account calls three services.
-func (s size) everything() Change {
+// fullChange returns one change that configures everything; each account may call three services.
+func (s size) fullChange() Change {
 	change := Change{ID: "everything"}
 	for i := range s.services {
 		t := service(fmt.Sprintf("service-%d", i), 1)
@@ -46,16 +46,16 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	held := make(map[Digest][]byte, len(shards))
+	byDigest := make(map[Digest][]byte, len(shards))
 	for _, s := range shards {
-		held[s.Digest] = s.Data
+		byDigest[s.Digest] = s.Data
 	}
-	return next, held
+	return next, byDigest
 }
 
-// started returns a machine that has a size's configuration, and the head of it.
-func started(b *testing.B, s size) (*Machine, Head) {
-	head, shards := propose(b, Head{Fleet: "f"}, nil, s.everything())
+// newConfiguredMachine returns a machine with a configuration of a size, and its head.
+func newConfiguredMachine(b *testing.B, s size) (*Machine, Head) {
+	head, shards := propose(b, Head{Fleet: "f"}, nil, s.fullChange())
 	m := NewMachine(MachineConfig{Fleet: "f"}, fleet.Ref{ID: "m", Incarnation: 1})
 	m.SetPeers([]fleet.Ref{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}, {ID: "f"}, {ID: "g"}, {ID: "h"}}, true)
 	now := time.Unix(1000, 0)
@@ -74,11 +74,11 @@
 	return m, head
 }
 
-// BenchmarkColdStart assembles a whole configuration from its shards.
+// BenchmarkColdStart assembles a configuration from its shards.
 func BenchmarkColdStart(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
-			head, shards := propose(b, Head{Fleet: "f"}, nil, s.everything())
+			head, shards := propose(b, Head{Fleet: "f"}, nil, s.fullChange())
 			bytes := 0
 			for _, data := range shards {
 				bytes += len(data)
@@ -94,13 +94,13 @@
 	}
 }
 
-// BenchmarkState reports the memory of a machine with its configuration and shards.
+// BenchmarkState reports the heap memory of a machine with its configuration and shards.
 func BenchmarkState(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
-				m, _ := started(b, s)
+				m, _ := newConfiguredMachine(b, s)
 				b.ReportMetric(float64(heap()-before), "bytes/instance")
 				runtime.KeepAlive(m)
 			}
@@ -116,7 +116,7 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkFollow applies changes one after another, folds among them, and encodes what is pushed.
+// BenchmarkFollow applies consecutive changes, some of them with a new snapshot, and encodes the messages to peers.
 func BenchmarkFollow(b *testing.B) {
 	kinds := map[string]func(s size, i int) Change{
 		"service": func(s size, i int) Change {
@@ -134,7 +134,7 @@
 }
 
 func follow(b *testing.B, s size, draw func(size, int) Change) {
-	m, head := started(b, s)
+	m, head := newConfiguredMachine(b, s)
 	now := time.Unix(1000, 0)
 	sent, i := 0, 0
 	b.ReportAllocs()
@@ -159,11 +159,11 @@
 	b.ReportMetric(float64(sent)/float64(i), "sent-bytes/change")
 }
 
-// BenchmarkPropose is the operators' tool's part of one change, without the store.
+// BenchmarkPropose measures what the operators' tool does for one change, without the store.
 func BenchmarkPropose(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
-			m, head := started(b, s)
+			m, head := newConfiguredMachine(b, s)
 			change := Change{ID: "x", Services: []ServiceTemplate{service("service-0", 2)}}
 			for b.Loop() {
 				if _, _, err := Propose(head, m.Current(), change); err != nil {
--- a/coord/rollout/diff.go
+++ b/coord/rollout/diff.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Diff returns what must change in a to make b, sorted by template. Either may be nil.
+// Diff returns the differences that lead from a to b, sorted by template. Either may be nil.
 func Diff(a, b *Config) []Difference {
 	a, b = orEmpty(a), orEmpty(b)
 	differences := diffTemplates("service ", a.Services, b.Services)
@@ -91,9 +91,9 @@
 	return fmt.Sprintf("%+v", v)
 }
 
-// Touched returns the names of the templates that a change puts in place or removes, sorted,
-// in the form of Difference.Template.
-func (c Change) Touched() []string {
+// TemplateNames returns the sorted names of the templates that a change sets or removes, in
+// the form of Difference.Template.
+func (c Change) TemplateNames() []string {
 	names := make(map[string]bool)
 	for _, t := range c.Services {
 		names["service "+string(t.Name)] = true
--- a/coord/rollout/errors.go
+++ b/coord/rollout/errors.go
@@ -8,32 +8,32 @@
 
 // Errors of this package.
 var (
-	// ErrMalformed says that a head, a shard or a message does not decode or contradicts itself.
+	// ErrMalformed means that a head, a shard or a message does not decode or is inconsistent.
 	ErrMalformed = errors.New("configuration malformed")
-	// ErrDigest says that a shard's content does not match its digest.
-	ErrDigest = errors.New("shard does not match its digest")
-	// ErrTooLarge says that a head or a shard is over MaxValueBytes.
+	// ErrDigestMismatch means that a shard's content does not match its digest.
+	ErrDigestMismatch = errors.New("shard does not match its digest")
+	// ErrTooLarge means that a head or a shard exceeds MaxValueBytes.
 	ErrTooLarge = errors.New("configuration value too large")
-	// ErrAccepted says that a change with the same ID was accepted before.
-	ErrAccepted = errors.New("change accepted before")
-	// ErrFaults is what a FaultError wraps.
-	ErrFaults = errors.New("configuration has faults")
+	// ErrAlreadyAccepted means that a change with the same ID was accepted before.
+	ErrAlreadyAccepted = errors.New("change already accepted")
+	// ErrInvalid is wrapped by every ValidationError.
+	ErrInvalid = errors.New("configuration is invalid")
 )
 
-// FaultError lists every fault of a proposed configuration.
-type FaultError struct {
-	Faults []Fault
+// ValidationError lists every invalid field of a proposed configuration.
+type ValidationError struct {
+	Fields []FieldError
 }
 
-// Error returns all faults, one a line.
-func (e *FaultError) Error() string {
+// Error returns the number of invalid fields and then each of them on a line of its own.
+func (e *ValidationError) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%v: %d", ErrFaults, len(e.Faults))
-	for _, f := range e.Faults {
+	fmt.Fprintf(&b, "%v: %d", ErrInvalid, len(e.Fields))
+	for _, f := range e.Fields {
 		b.WriteString("\n" + f.String())
 	}
 	return b.String()
 }
 
 // Unwrap returns ErrFaults.
-func (e *FaultError) Unwrap() error { return ErrFaults }
+func (e *ValidationError) Unwrap() error { return ErrInvalid }
--- a/coord/rollout/fetch.go
+++ b/coord/rollout/fetch.go
@@ -6,18 +6,18 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// maxFetches bounds the shards that are asked for at once.
+// maxFetches bounds the concurrent shard requests.
 const maxFetches = 4
 
-// fetch is a shard that was asked for.
+// fetch is the state of requesting one shard.
 type fetch struct {
-	at       time.Time
-	attempts int
-	from     fleet.Ref // Zero when the store was asked.
+	requestedAt time.Time
+	attempts    int
+	from        fleet.Ref // Source of the latest attempt; zero for the store.
 }
 
-// missing returns the shards of a head that are not held.
-func (m *Machine) missing(h Head) map[Digest]bool {
+// missingShards returns the digests of a head whose shards this instance does not have.
+func (m *Machine) missingShards(h Head) map[Digest]bool {
 	missing := make(map[Digest]bool)
 	for _, d := range h.Shards {
 		if _, held := m.shards[d]; !held {
@@ -27,18 +27,18 @@
 	return missing
 }
 
-func (m *Machine) holdsAll(h Head) bool {
-	return len(m.missing(h)) == 0
+func (m *Machine) hasAllShards(h Head) bool {
+	return len(m.missingShards(h)) == 0
 }
 
-// fetchMissing asks for the shards of the candidate, or of the snapshot in force when a
-// part of it is not held.
+// fetchMissing requests the missing shards of the candidate or, when there is none, of the
+// active snapshot.
 func (m *Machine) fetchMissing(now time.Time) {
 	target := m.head
-	if m.wanted != nil {
-		target = m.wanted.head
+	if m.candidate != nil {
+		target = m.candidate.head
 	}
-	missing := m.missing(target)
+	missing := m.missingShards(target)
 	for d := range m.fetches {
 		if !missing[d] {
 			delete(m.fetches, d)
@@ -51,34 +51,34 @@
 	}
 }
 
-// fetch asks for a shard, unless it or too many others are under way.
+// fetch requests a shard, unless a request for it is pending or too many others are.
 func (m *Machine) fetch(now time.Time, d Digest, r fleet.Revision) {
-	f, asked := m.fetches[d]
+	f, requested := m.fetches[d]
 	switch {
-	case asked && now.Sub(f.at) < m.cfg.ShardTimeout:
+	case requested && now.Sub(f.requestedAt) < m.cfg.ShardTimeout:
 		return
-	case !asked && len(m.fetches) >= maxFetches:
+	case !requested && len(m.fetches) >= maxFetches:
 		return
-	case !asked:
+	case !requested:
 		f = &fetch{}
 		m.fetches[d] = f
 	}
-	f.at = now
-	f.from = m.sourceOf(d, f.attempts, r)
+	f.requestedAt = now
+	f.from = m.chooseSource(d, f.attempts, r)
 	f.attempts++
 	if f.from.IsZero() {
 		m.emit(ReadShard{Digest: d})
 		return
 	}
-	m.send(f.from, Message{Want: d})
+	m.send(f.from, Message{ShardRequest: d})
 }
 
-// sourceOf chooses where to ask for a shard: peers that have the revision first, each
-// attempt another one, and the store after every two.
-func (m *Machine) sourceOf(d Digest, attempt int, r fleet.Revision) fleet.Ref {
+// chooseSource chooses where to request a shard: a different peer that has the revision on
+// each attempt, and the store on every third or when there is no such peer.
+func (m *Machine) chooseSource(d Digest, attempt int, r fleet.Revision) fleet.Ref {
 	var sources []fleet.Ref
 	for _, peer := range m.peers {
-		if m.known[peer] >= r {
+		if m.peerRevisions[peer] >= r {
 			sources = append(sources, peer)
 		}
 	}
@@ -88,13 +88,13 @@
 	return sources[(int(d[0])+attempt)%len(sources)]
 }
 
-func (m *Machine) answerWant(to fleet.Ref, d Digest) {
+func (m *Machine) answerShardRequest(to fleet.Ref, d Digest) {
 	m.send(to, Message{Shard: &Shard{Digest: d, Data: m.shards[d]}})
 }
 
-func (m *Machine) deliverShard(now time.Time, from fleet.Ref, s Shard) {
-	f, asked := m.fetches[s.Digest]
-	if !asked {
+func (m *Machine) handleShard(now time.Time, from fleet.Ref, s Shard) {
+	f, requested := m.fetches[s.Digest]
+	if !requested {
 		m.counters.Unsolicited++
 		return
 	}
@@ -102,20 +102,20 @@
 		m.retryFetch(now, f, from)
 		return
 	}
-	m.takeShard(now, s, f, from)
+	m.acceptShard(now, s, f, from)
 }
 
-// ShardRead takes the outcome of reading a shard from the store.
+// ShardRead handles the outcome of ReadShard.
 func (m *Machine) ShardRead(now time.Time, d Digest, data []byte, err error) []Effect {
-	f, asked := m.fetches[d]
-	if !asked || err != nil {
+	f, requested := m.fetches[d]
+	if !requested || err != nil {
 		return m.flush()
 	}
-	m.takeShard(now, Shard{Digest: d, Data: data}, f, fleet.Ref{})
+	m.acceptShard(now, Shard{Digest: d, Data: data}, f, fleet.Ref{})
 	return m.flush()
 }
 
-func (m *Machine) takeShard(now time.Time, s Shard, f *fetch, from fleet.Ref) {
+func (m *Machine) acceptShard(now time.Time, s Shard, f *fetch, from fleet.Ref) {
 	if len(s.Data) > MaxValueBytes {
 		m.counters.TooLarge++
 		m.retryFetch(now, f, from)
@@ -129,15 +129,15 @@
 	m.counters.ShardsFetched++
 	m.shards[s.Digest] = s.Data
 	delete(m.fetches, s.Digest)
-	m.try(now)
+	m.tryCandidate(now)
 }
 
-// retryFetch lets a shard be asked for elsewhere at once, if it was this source that was
-// asked last and the store was not: the store is asked again only after ShardTimeout.
+// retryFetch requests a shard from another source at once, if the failed source is the peer
+// that it was last requested from. A failed read of the store is retried only after ShardTimeout.
 func (m *Machine) retryFetch(now time.Time, f *fetch, from fleet.Ref) {
 	if f.from != from || from.IsZero() {
 		return
 	}
-	f.at = time.Time{}
+	f.requestedAt = time.Time{}
 	m.fetchMissing(now)
 }
--- a/coord/rollout/head.go
+++ b/coord/rollout/head.go
@@ -10,25 +10,25 @@
 
 // Bounds of a head.
 const (
-	// MaxInlineChanges bounds the changes that a head holds.
+	// MaxInlineChanges bounds the number of changes in a head.
 	MaxInlineChanges = 64
-	// MaxInlineBytes bounds the encoded changes that a head holds.
+	// MaxInlineBytes bounds the size of the encoded changes in a head.
 	MaxInlineBytes = 256 << 10
-	// MaxRecentIDs bounds the change IDs that a head holds.
+	// MaxRecentIDs bounds the change IDs in a head.
 	MaxRecentIDs = 256
 )
 
-// Head is the record that says which configuration is accepted.
+// Head is the record of the accepted configuration.
 type Head struct {
 	Fleet            string         `cbor:"1,keyasint" json:"fleet"`
 	Revision         fleet.Revision `cbor:"2,keyasint" json:"revision"`
-	SnapshotRevision fleet.Revision `cbor:"3,keyasint" json:"snapshot_revision"` // Revision that Shards hold.
+	SnapshotRevision fleet.Revision `cbor:"3,keyasint" json:"snapshot_revision"` // Revision of the snapshot in Shards.
 	Shards           []Digest       `cbor:"4,keyasint,omitempty" json:"-"`
 	Changes          []Change       `cbor:"5,keyasint,omitempty" json:"changes"` // Contiguous; the last is Revision's own.
 	Recent           []ChangeRef    `cbor:"6,keyasint,omitempty" json:"recent"`  // Latest accepted changes, oldest first.
 }
 
-// ChangeRef names one accepted change.
+// ChangeRef identifies one accepted change.
 type ChangeRef struct {
 	ID       string         `cbor:"1,keyasint" json:"id"`
 	Revision fleet.Revision `cbor:"2,keyasint" json:"revision"`
@@ -41,7 +41,7 @@
 	return ok
 }
 
-// RevisionOf returns the revision that a change was accepted as, if it is among the latest.
+// RevisionOf returns the revision at which a change was accepted, if it is among the latest.
 func (h Head) RevisionOf(changeID string) (fleet.Revision, bool) {
 	for _, ref := range h.Recent {
 		if ref.ID == changeID {
@@ -51,7 +51,7 @@
 	return 0, false
 }
 
-// EncodeHead returns the bytes of a head. It returns ErrTooLarge.
+// EncodeHead encodes a head. It returns ErrTooLarge when the result exceeds MaxValueBytes.
 func EncodeHead(h Head) ([]byte, error) {
 	data, err := encoding.Marshal(h)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return data, nil
 }
 
-// DecodeHead returns the head in data. It returns ErrMalformed or ErrTooLarge.
+// DecodeHead decodes a head. It returns ErrMalformed or ErrTooLarge when data is invalid.
 func DecodeHead(data []byte) (Head, error) {
 	if len(data) > MaxValueBytes {
 		return Head{}, fmt.Errorf("%w: head of %d bytes, bound %d", ErrTooLarge, len(data), MaxValueBytes)
@@ -72,14 +72,14 @@
 	if err := cbor.Unmarshal(data, &h); err != nil {
 		return Head{}, fmt.Errorf("%w: head of %d bytes: %w", ErrMalformed, len(data), err)
 	}
-	if err := h.check(); err != nil {
+	if err := h.validate(); err != nil {
 		return Head{}, err
 	}
 	return h, nil
 }
 
-// check returns ErrMalformed when the head contradicts itself.
-func (h Head) check() error {
+// validate returns ErrMalformed when the head is inconsistent.
+func (h Head) validate() error {
 	if h.SnapshotRevision > h.Revision {
 		return fmt.Errorf("%w: snapshot %d is after revision %d", ErrMalformed, h.SnapshotRevision, h.Revision)
 	}
@@ -95,32 +95,32 @@
 	}
 	for _, c := range h.Changes {
 		if c.Revision != next {
-			return fmt.Errorf("%w: change of revision %d where %d was due", ErrMalformed, c.Revision, next)
+			return fmt.Errorf("%w: change of revision %d in place of %d", ErrMalformed, c.Revision, next)
 		}
 		next++
 	}
 	return nil
 }
 
-// first returns the revision of the first inline change, or the one after Revision.
-func (h Head) first() fleet.Revision {
+// firstChange returns the revision of the first inline change, or the one after Revision when there is none.
+func (h Head) firstChange() fleet.Revision {
 	return h.Revision - fleet.Revision(len(h.Changes)) + 1
 }
 
-// covers reports whether the inline changes lead from revision have to Revision.
-func (h Head) covers(have fleet.Revision) bool {
-	return h.first() <= have+1
+// hasChangesSince reports whether every change after a revision, up to Revision, is inline.
+func (h Head) hasChangesSince(after fleet.Revision) bool {
+	return h.firstChange() <= after+1
 }
 
-// complete reports whether the inline changes lead from the snapshot to Revision.
-func (h Head) complete() bool {
-	return h.covers(h.SnapshotRevision)
+// hasChangesSinceSnapshot reports whether every change after the snapshot is inline.
+func (h Head) hasChangesSinceSnapshot() bool {
+	return h.hasChangesSince(h.SnapshotRevision)
 }
 
-// after returns the head with only the changes after revision have, and no recent IDs.
-func (h Head) after(have fleet.Revision) Head {
+// withChangesAfter returns the head with only the changes after a revision, and without recent IDs.
+func (h Head) withChangesAfter(after fleet.Revision) Head {
 	skip := 0
-	for skip < len(h.Changes) && h.Changes[skip].Revision <= have {
+	for skip < len(h.Changes) && h.Changes[skip].Revision <= after {
 		skip++
 	}
 	h.Changes = h.Changes[skip:]
--- a/coord/rollout/machine.go
+++ b/coord/rollout/machine.go
@@ -9,23 +9,23 @@
 
 // Default times of a MachineConfig.
 const (
-	DefaultAskTimeout   = time.Second
-	DefaultShardTimeout = 2 * time.Second
-	DefaultStartWait    = 2 * time.Second
-	DefaultReadInterval = 5 * time.Second
+	DefaultRequestTimeout = time.Second
+	DefaultShardTimeout   = 2 * time.Second
+	DefaultStartWait      = 2 * time.Second
+	DefaultReadInterval   = 5 * time.Second
 )
 
 // MachineConfig holds the settings of a Machine. Zero times take the defaults.
 type MachineConfig struct {
-	Fleet        string
-	AskTimeout   time.Duration // Before another peer is asked.
-	ShardTimeout time.Duration // Before a shard is sought elsewhere.
-	StartWait    time.Duration // For answers of peers, when the store does not answer.
-	ReadInterval time.Duration // Between reads of the head while there is no configuration.
+	Fleet          string
+	RequestTimeout time.Duration // Time without a reply before another peer is asked for a head.
+	ShardTimeout   time.Duration // Time without a reply before a shard is requested from another source.
+	StartWait      time.Duration // Maximum wait for the peers' replies at the start, when the store does not answer.
+	ReadInterval   time.Duration // Time between reads of the store's head while there is no configuration.
 }
 
 func (c MachineConfig) withDefaults() MachineConfig {
-	setDefault(&c.AskTimeout, DefaultAskTimeout)
+	setDefault(&c.RequestTimeout, DefaultRequestTimeout)
 	setDefault(&c.ShardTimeout, DefaultShardTimeout)
 	setDefault(&c.StartWait, DefaultStartWait)
 	setDefault(&c.ReadInterval, DefaultReadInterval)
@@ -38,41 +38,41 @@
 	}
 }
 
-// Counters counts what a Machine did and what it refused.
+// Counters counts events of a Machine and the input that it rejected.
 type Counters struct {
-	Applied       uint64 // Configurations put in force.
-	LowerRevision uint64 // Heads below the revision in force.
-	OtherFleet    uint64
-	Malformed     uint64
-	WrongDigest   uint64
-	TooLarge      uint64
-	Unsolicited   uint64 // Shards that were not asked for.
-	ShardsFetched uint64
-	StoreBehind   uint64 // Store reads below the revision in force.
+	Applied         uint64 // Configurations that became active.
+	LowerRevision   uint64 // Heads below the active revision.
+	OtherFleet      uint64
+	Malformed       uint64
+	WrongDigest     uint64
+	TooLarge        uint64
+	Unsolicited     uint64 // Shards that were not requested.
+	ShardsFetched   uint64
+	StaleStoreReads uint64 // Heads read from the store below the active revision.
 }
 
-// Machine keeps one instance's configuration.
+// Machine maintains one instance's configuration. It does no I/O; it is not safe for concurrent use.
 type Machine struct {
-	cfg      MachineConfig
-	self     fleet.Ref
-	peers    []fleet.Ref
-	watcher  bool
-	current  *Config
-	head     Head              // Of current, without recent IDs.
-	shards   map[Digest][]byte // Of head's snapshot, as far as held.
-	wanted   *candidate
-	known    map[fleet.Ref]fleet.Revision // Highest revision heard from each peer.
-	asks     map[fleet.Ref]time.Time      // Asks under way, with the time of sending.
-	answered map[fleet.Ref]bool           // Peers that answered while there was no configuration.
-	started  time.Time
-	readAt   time.Time // Last ReadHead.
-	stored   bool      // The store's head was read while there was no configuration.
-	fetches  map[Digest]*fetch
-	effects  []Effect
-	counters Counters
+	cfg             MachineConfig
+	self            fleet.Ref
+	peers           []fleet.Ref
+	watcher         bool
+	current         *Config
+	head            Head              // Of current, without recent IDs.
+	shards          map[Digest][]byte // Shards of head's snapshot that this instance has.
+	candidate       *candidate
+	peerRevisions   map[fleet.Ref]fleet.Revision // Highest revision reported by each peer.
+	requestedAt     map[fleet.Ref]time.Time      // Times of the pending head requests, by peer.
+	replied         map[fleet.Ref]bool           // Peers that sent a head while there was no configuration.
+	startedAt       time.Time
+	headRequestedAt time.Time // Time of the last ReadHead.
+	headRead        bool      // The store's head was read while there was no configuration.
+	fetches         map[Digest]*fetch
+	effects         []Effect
+	counters        Counters
 }
 
-// candidate is a head that is newer than the configuration in force and not applied yet.
+// candidate is a head that is newer than the active configuration and not applied yet.
 type candidate struct {
 	head Head
 	from fleet.Ref // Zero when it came from the store.
@@ -81,17 +81,17 @@
 // NewMachine returns a machine without a configuration.
 func NewMachine(cfg MachineConfig, self fleet.Ref) *Machine {
 	return &Machine{
-		cfg:      cfg.withDefaults(),
-		self:     self,
-		shards:   make(map[Digest][]byte),
-		known:    make(map[fleet.Ref]fleet.Revision),
-		asks:     make(map[fleet.Ref]time.Time),
-		answered: make(map[fleet.Ref]bool),
-		fetches:  make(map[Digest]*fetch),
+		cfg:           cfg.withDefaults(),
+		self:          self,
+		shards:        make(map[Digest][]byte),
+		peerRevisions: make(map[fleet.Ref]fleet.Revision),
+		requestedAt:   make(map[fleet.Ref]time.Time),
+		replied:       make(map[fleet.Ref]bool),
+		fetches:       make(map[Digest]*fetch),
 	}
 }
 
-// Current returns the configuration in force, or nil before the first.
+// Current returns the active configuration, or nil before the first.
 func (m *Machine) Current() *Config {
 	return m.current
 }
@@ -101,7 +101,7 @@
 	return m.counters
 }
 
-// Watcher reports whether this instance watches the store's head.
+// Watcher reports whether this instance watches the head in the store.
 func (m *Machine) Watcher() bool {
 	return m.watcher
 }
@@ -110,15 +110,15 @@
 func (m *Machine) SetPeers(peers []fleet.Ref, watcher bool) {
 	m.peers = slices.DeleteFunc(slices.Clone(peers), func(p fleet.Ref) bool { return p == m.self })
 	m.watcher = watcher
-	for peer := range m.known {
+	for peer := range m.peerRevisions {
 		if !slices.Contains(m.peers, peer) {
-			delete(m.known, peer)
-			delete(m.asks, peer)
+			delete(m.peerRevisions, peer)
+			delete(m.requestedAt, peer)
 		}
 	}
 }
 
-// SetSelf names this instance's next life.
+// SetSelf sets this instance's current incarnation.
 func (m *Machine) SetSelf(self fleet.Ref) {
 	m.self = self
 }
@@ -132,7 +132,7 @@
 	m.emit(Send{To: to, Message: msg})
 }
 
-// flush returns the effects gathered since the last flush.
+// flush returns the effects collected since the last flush.
 func (m *Machine) flush() []Effect {
 	effects := m.effects
 	m.effects = nil
@@ -143,24 +143,24 @@
 	return nextRevision(m.current) - 1
 }
 
-// HeadRead takes the outcome of reading the store's head. A zero head means that the store holds none.
+// HeadRead handles the outcome of ReadHead. A zero head means that the store has none.
 func (m *Machine) HeadRead(now time.Time, head Head, err error) []Effect {
 	if err != nil {
 		return m.flush()
 	}
-	if !m.acceptable(head) {
+	if !m.checkHead(head) {
 		return m.flush()
 	}
-	m.stored = true
+	m.headRead = true
 	if head.Revision < m.revision() {
-		m.counters.StoreBehind++
+		m.counters.StaleStoreReads++
 	}
-	m.consider(now, head, fleet.Ref{})
+	m.considerHead(now, head, fleet.Ref{})
 	return m.flush()
 }
 
-// acceptable counts and refuses a head that is of another fleet or contradicts itself.
-func (m *Machine) acceptable(h Head) bool {
+// checkHead reports whether a head may be used. One that is of another fleet or inconsistent is counted and rejected.
+func (m *Machine) checkHead(h Head) bool {
 	if h.Revision == 0 {
 		return true
 	}
@@ -168,14 +168,14 @@
 		m.counters.OtherFleet++
 		return false
 	}
-	if h.check() != nil {
+	if h.validate() != nil {
 		m.counters.Malformed++
 		return false
 	}
 	return true
 }
 
-// Deliver takes a message of another instance.
+// Deliver handles a message from another instance.
 func (m *Machine) Deliver(now time.Time, from fleet.Ref, msg Message) []Effect {
 	if msg.Fleet != m.cfg.Fleet {
 		m.counters.OtherFleet++
@@ -183,130 +183,131 @@
 	}
 	switch {
 	case msg.Head != nil:
-		m.deliverHead(now, from, *msg.Head)
-	case msg.Ask != nil:
-		m.answerAsk(from, *msg.Ask)
+		m.handleHead(now, from, *msg.Head)
+	case msg.HeadRequest != nil:
+		m.answerHeadRequest(from, *msg.HeadRequest)
 	case msg.Shard != nil:
-		m.deliverShard(now, from, *msg.Shard)
-	case msg.Want != Digest{}:
-		m.answerWant(from, msg.Want)
+		m.handleShard(now, from, *msg.Shard)
+	case msg.ShardRequest != Digest{}:
+		m.answerShardRequest(from, msg.ShardRequest)
 	default:
 		m.counters.Malformed++
 	}
 	return m.flush()
 }
 
-func (m *Machine) deliverHead(now time.Time, from fleet.Ref, h Head) {
-	if !m.acceptable(h) {
+func (m *Machine) handleHead(now time.Time, from fleet.Ref, h Head) {
+	if !m.checkHead(h) {
 		return
 	}
-	delete(m.asks, from)
+	delete(m.requestedAt, from)
 	if m.current == nil {
-		m.answered[from] = true
+		m.replied[from] = true
 	}
-	m.hear(from, h.Revision)
-	m.consider(now, h, from)
+	m.recordPeerRevision(from, h.Revision)
+	m.considerHead(now, h, from)
 }
 
-func (m *Machine) hear(peer fleet.Ref, r fleet.Revision) {
-	m.known[peer] = max(m.known[peer], r)
+func (m *Machine) recordPeerRevision(peer fleet.Ref, r fleet.Revision) {
+	m.peerRevisions[peer] = max(m.peerRevisions[peer], r)
 }
 
-// answerAsk sends what is after the asker's revision, or the whole head when the inline
-// changes do not reach back that far. An empty head says that there is nothing.
-func (m *Machine) answerAsk(to fleet.Ref, ask Ask) {
+// answerHeadRequest sends the changes after the requested revision, or those after the snapshot
+// when the inline changes do not reach back that far. An empty head means that this instance
+// has no configuration.
+func (m *Machine) answerHeadRequest(to fleet.Ref, req HeadRequest) {
 	if m.current == nil {
 		m.send(to, Message{Head: &Head{}})
 		return
 	}
-	if ask.Have > 0 {
-		m.hear(to, ask.Have)
+	if req.After > 0 {
+		m.recordPeerRevision(to, req.After)
 	}
-	h := m.head.after(ask.Have)
-	if !m.head.covers(ask.Have) {
-		h = m.head.after(m.head.SnapshotRevision)
+	h := m.head.withChangesAfter(req.After)
+	if !m.head.hasChangesSince(req.After) {
+		h = m.head.withChangesAfter(m.head.SnapshotRevision)
 	}
 	m.send(to, Message{Head: &h})
 }
 
-// PeerRevision takes the revision that a peer's heartbeat carried.
+// PeerRevision handles the revision in a peer's heartbeat.
 func (m *Machine) PeerRevision(now time.Time, peer fleet.Ref, r fleet.Revision) []Effect {
-	m.hear(peer, r)
+	m.recordPeerRevision(peer, r)
 	if r > m.revision() {
-		m.askIfBehind(now)
+		m.requestIfBehind(now)
 	}
 	return m.flush()
 }
 
-// Refresh asks one peer for what is newer. An instance that no peer sends heartbeats to calls
-// it from time to time.
+// Refresh requests newer changes from one peer. It is called periodically on an instance that
+// receives no heartbeats.
 func (m *Machine) Refresh(now time.Time) []Effect {
 	if len(m.peers) > 0 {
-		peer := m.leastRecentlyAsked(m.peers)
-		if m.mayAsk(now, peer) {
-			m.ask(now, peer)
+		peer := m.leastRecentlyRequested(m.peers)
+		if m.mayRequest(now, peer) {
+			m.requestHead(now, peer)
 		}
 	}
 	return m.flush()
 }
 
-// Tick repeats what went unanswered.
+// Tick repeats requests that were not answered in time.
 func (m *Machine) Tick(now time.Time) []Effect {
-	if m.started.IsZero() {
-		m.started = now
+	if m.startedAt.IsZero() {
+		m.startedAt = now
 	}
 	if m.current == nil {
 		m.tickStart(now)
 	}
-	m.askIfBehind(now)
-	m.try(now)
+	m.requestIfBehind(now)
+	m.tryCandidate(now)
 	return m.flush()
 }
 
-// tickStart asks the store and the peers for a first configuration.
+// tickStart requests the first configuration from the store and the peers.
 func (m *Machine) tickStart(now time.Time) {
-	if m.readAt.IsZero() || now.Sub(m.readAt) >= m.cfg.ReadInterval {
-		m.readAt = now
+	if m.headRequestedAt.IsZero() || now.Sub(m.headRequestedAt) >= m.cfg.ReadInterval {
+		m.headRequestedAt = now
 		m.emit(ReadHead{})
 	}
 	for _, peer := range m.peers {
-		if !m.answered[peer] && m.mayAsk(now, peer) {
-			m.ask(now, peer)
+		if !m.replied[peer] && m.mayRequest(now, peer) {
+			m.requestHead(now, peer)
 		}
 	}
 }
 
-// askIfBehind asks one peer that has a higher revision, unless an ask is under way.
-func (m *Machine) askIfBehind(now time.Time) {
+// requestIfBehind requests the head from one peer with a higher revision, unless such a request is pending.
+func (m *Machine) requestIfBehind(now time.Time) {
 	have := m.revision()
-	if m.wanted != nil {
-		have = max(have, m.wanted.head.Revision)
+	if m.candidate != nil {
+		have = max(have, m.candidate.head.Revision)
 	}
 	var behind []fleet.Ref
 	for _, peer := range m.peers {
-		if m.known[peer] <= have {
+		if m.peerRevisions[peer] <= have {
 			continue
 		}
-		if !m.mayAsk(now, peer) {
+		if !m.mayRequest(now, peer) {
 			return
 		}
 		behind = append(behind, peer)
 	}
 	if len(behind) > 0 {
-		m.ask(now, m.leastRecentlyAsked(behind))
+		m.requestHead(now, m.leastRecentlyRequested(behind))
 	}
 }
 
-func (m *Machine) leastRecentlyAsked(peers []fleet.Ref) fleet.Ref {
-	return slices.MinFunc(peers, func(a, b fleet.Ref) int { return m.asks[a].Compare(m.asks[b]) })
+func (m *Machine) leastRecentlyRequested(peers []fleet.Ref) fleet.Ref {
+	return slices.MinFunc(peers, func(a, b fleet.Ref) int { return m.requestedAt[a].Compare(m.requestedAt[b]) })
 }
 
-func (m *Machine) mayAsk(now time.Time, peer fleet.Ref) bool {
-	at, asked := m.asks[peer]
-	return !asked || now.Sub(at) >= m.cfg.AskTimeout
+func (m *Machine) mayRequest(now time.Time, peer fleet.Ref) bool {
+	at, requested := m.requestedAt[peer]
+	return !requested || now.Sub(at) >= m.cfg.RequestTimeout
 }
 
-func (m *Machine) ask(now time.Time, peer fleet.Ref) {
-	m.asks[peer] = now
-	m.send(peer, Message{Ask: &Ask{Have: m.revision()}})
+func (m *Machine) requestHead(now time.Time, peer fleet.Ref) {
+	m.requestedAt[peer] = now
+	m.send(peer, Message{HeadRequest: &HeadRequest{After: m.revision()}})
 }
--- a/coord/rollout/propose.go
+++ b/coord/rollout/propose.go
@@ -9,43 +9,43 @@
 
 // Propose returns the head that accepts a change after current, whose configuration is base,
 // and the shards that must be written before it. base is nil and current is zero but for its
-// Fleet when there is no configuration yet. It returns ErrAccepted, ErrTooLarge or a FaultError.
+// Fleet when there is no configuration yet. It returns ErrAlreadyAccepted, ErrTooLarge or a ValidationError.
 func Propose(current Head, base *Config, change Change) (Head, []Shard, error) {
 	if r, ok := current.RevisionOf(change.ID); ok {
-		return Head{}, nil, fmt.Errorf("%w: %q is revision %d", ErrAccepted, change.ID, r)
+		return Head{}, nil, fmt.Errorf("%w: %q is revision %d", ErrAlreadyAccepted, change.ID, r)
 	}
 	if base != nil && base.Revision != current.Revision {
 		return Head{}, nil, fmt.Errorf("%w: configuration of revision %d with head of revision %d", ErrMalformed, base.Revision, current.Revision)
 	}
 	change.Revision = current.Revision + 1
 	config := base.With(change, change.Revision)
-	if faults := config.Validate(); len(faults) > 0 {
-		return Head{}, nil, &FaultError{Faults: faults}
+	if fieldErrors := config.Validate(); len(fieldErrors) > 0 {
+		return Head{}, nil, &ValidationError{Fields: fieldErrors}
 	}
-	next, err := current.with(change)
+	next, err := current.withChange(change)
 	if err != nil {
 		return Head{}, nil, err
 	}
-	if next.complete() {
+	if next.hasChangesSinceSnapshot() {
 		return next, nil, nil
 	}
-	return next.fold(current, config, change)
+	return next.withSnapshot(current, config, change)
 }
 
-// with returns the head after one more change, with as many inline changes as the bounds
-// allow; complete is then false when the snapshot has become too old.
-func (h Head) with(change Change) (Head, error) {
+// withChange returns the head after one more change, with as many inline changes as the bounds
+// allow. When these no longer reach back to the snapshot, a new snapshot is needed.
+func (h Head) withChange(change Change) (Head, error) {
 	next := h
 	next.Revision = change.Revision
 	next.Recent = append(slices.Clone(h.Recent), ChangeRef{ID: change.ID, Revision: change.Revision, Author: change.Author})
 	next.Recent = next.Recent[max(0, len(next.Recent)-MaxRecentIDs):]
-	changes, err := trim(append(slices.Clone(h.Changes), change))
+	changes, err := trimChanges(append(slices.Clone(h.Changes), change))
 	next.Changes = changes
 	return next, err
 }
 
-// trim returns the latest changes that fit the bounds of a head.
-func trim(changes []Change) ([]Change, error) {
+// trimChanges returns the latest changes that fit the bounds of a head.
+func trimChanges(changes []Change) ([]Change, error) {
 	kept := len(changes)
 	size := 0
 	for kept > 0 && len(changes)-kept < MaxInlineChanges {
@@ -59,72 +59,72 @@
 		}
 		kept--
 	}
-	return slices.Clone(changes[kept:]), nil // A part of the array would hold on to the rest.
+	return slices.Clone(changes[kept:]), nil // A subslice would keep the whole array in memory.
 }
 
-// fold returns the head with a snapshot of the configuration, and the shards that differ
-// from the former snapshot's.
-func (h Head) fold(former Head, config *Config, change Change) (Head, []Shard, error) {
-	wanted := touchedBuckets(former, change)
-	shards, err := encodeShards(config, ShardCount, func(bucket int) bool { return wanted[bucket] })
+// withSnapshot returns the head with a snapshot of the configuration, and the shards that differ
+// from the previous snapshot's.
+func (h Head) withSnapshot(previous Head, config *Config, change Change) (Head, []Shard, error) {
+	changed := changedBuckets(previous, change)
+	shards, err := encodeShards(config, ShardCount, func(bucket int) bool { return changed[bucket] })
 	if err != nil {
 		return Head{}, nil, err
 	}
 	h.SnapshotRevision = config.Revision
 	h.Shards = make([]Digest, ShardCount)
-	copy(h.Shards, former.Shards)
-	var fresh []Shard
+	copy(h.Shards, previous.Shards)
+	var updated []Shard
 	for bucket, s := range shards {
-		if wanted[bucket] {
+		if changed[bucket] {
 			h.Shards[bucket] = s.Digest
-			fresh = append(fresh, s)
+			updated = append(updated, s)
 		}
 	}
-	return h, fresh, nil
+	return h, updated, nil
 }
 
-// touchedBuckets returns the buckets whose content has changed since a head's snapshot; all
-// of them when it has none of ShardCount shards.
-func touchedBuckets(former Head, change Change) [ShardCount]bool {
-	var touched [ShardCount]bool
-	if len(former.Shards) != ShardCount {
-		for b := range touched {
-			touched[b] = true
+// changedBuckets returns the buckets whose content differs from a head's snapshot: all of
+// them when it has no snapshot of ShardCount shards.
+func changedBuckets(previous Head, change Change) [ShardCount]bool {
+	var changed [ShardCount]bool
+	if len(previous.Shards) != ShardCount {
+		for b := range changed {
+			changed[b] = true
 		}
-		return touched
+		return changed
 	}
-	for _, c := range former.Changes {
-		if c.Revision > former.SnapshotRevision {
-			c.markBuckets(&touched)
+	for _, c := range previous.Changes {
+		if c.Revision > previous.SnapshotRevision {
+			c.markBuckets(&changed)
 		}
 	}
-	change.markBuckets(&touched)
-	return touched
+	change.markBuckets(&changed)
+	return changed
 }
 
-func (c Change) markBuckets(touched *[ShardCount]bool) {
+func (c Change) markBuckets(changed *[ShardCount]bool) {
 	for _, t := range c.Services {
-		touched[bucketOf(string(t.Name), ShardCount)] = true
+		changed[bucketOf(string(t.Name), ShardCount)] = true
 	}
 	for _, name := range c.RemoveServices {
-		touched[bucketOf(string(name), ShardCount)] = true
+		changed[bucketOf(string(name), ShardCount)] = true
 	}
 	for _, t := range c.Accounts {
-		touched[bucketOf(string(t.Name), ShardCount)] = true
+		changed[bucketOf(string(t.Name), ShardCount)] = true
 	}
 	for _, name := range c.RemoveAccounts {
-		touched[bucketOf(string(name), ShardCount)] = true
+		changed[bucketOf(string(name), ShardCount)] = true
 	}
 }
 
-// Retired returns the shards that former named and next does not.
-func Retired(former, next Head) []Digest {
+// RetiredShards returns the shards that previous references and next does not.
+func RetiredShards(previous, next Head) []Digest {
 	kept := make(map[Digest]bool, len(next.Shards))
 	for _, d := range next.Shards {
 		kept[d] = true
 	}
 	var retired []Digest
-	for _, d := range former.Shards {
+	for _, d := range previous.Shards {
 		if !kept[d] {
 			retired = append(retired, d)
 		}
@@ -132,7 +132,7 @@
 	return retired
 }
 
-// nextRevision is the revision after the one in force.
+// nextRevision returns the revision after a configuration's, which may be nil.
 func nextRevision(c *Config) fleet.Revision {
 	if c == nil {
 		return 1
--- a/coord/rollout/propose_test.go
+++ b/coord/rollout/propose_test.go
@@ -10,9 +10,9 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-func TestHeadStaysWithinItsBoundAndAssembles(t *testing.T) {
+func TestHeadStaysWithinBoundAndAssembles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 1)
+		sim := newSimulation(t, 1)
 		for range rapid.IntRange(1, 80).Draw(t, "changes") {
 			change := Change{Services: []ServiceTemplate{service("s", 1)}}
 			if rapid.IntRange(0, 19).Draw(t, "bulk") == 0 {
@@ -21,21 +21,21 @@
 			for i := range rapid.IntRange(1, 10).Draw(t, "accounts") {
 				change.Accounts = append(change.Accounts, account(fmt.Sprintf("a%d", i), "s"))
 			}
-			w.accept(change)
+			sim.accept(change)
 		}
-		data, err := EncodeHead(w.head)
+		data, err := EncodeHead(sim.head)
 		if err != nil {
-			t.Fatalf("revision %d: %v", w.head.Revision, err)
+			t.Fatalf("revision %d: %v", sim.head.Revision, err)
 		}
 		head, err := DecodeHead(data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := Assemble(head, func(d Digest) []byte { return w.shards[d] })
+		c, err := Assemble(head, func(d Digest) []byte { return sim.shards[d] })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d := Diff(w.history[head.Revision], c); len(d) > 0 {
+		if d := Diff(sim.history[head.Revision], c); len(d) > 0 {
 			t.Fatalf("assembled configuration differs: %v", d[0])
 		}
 	})
@@ -48,23 +48,23 @@
 		t.Fatalf("head %+v, error %v", head, err)
 	}
 	base := (*Config)(nil).With(change, 1)
-	if _, _, err := Propose(head, base, change); !errors.Is(err, ErrAccepted) {
+	if _, _, err := Propose(head, base, change); !errors.Is(err, ErrAlreadyAccepted) {
 		t.Fatalf("error %v", err)
 	}
 }
 
-func TestValidateNamesEveryFault(t *testing.T) {
+func TestValidateReportsEveryInvalidField(t *testing.T) {
 	bad := service("s", -1)
 	bad.Deadline = 0
 	bad.RetryShare = 2
 	bad.Routes[0].PathPrefix = "no-slash"
 	c := (*Config)(nil).With(Change{Services: []ServiceTemplate{bad}, Accounts: []AccountTemplate{account("a", "t")}}, 1)
-	if faults := c.Validate(); len(faults) != 5 {
-		t.Fatalf("%d faults: %v", len(faults), faults)
+	if invalid := c.Validate(); len(invalid) != 5 {
+		t.Fatalf("%d invalid fields: %v", len(invalid), invalid)
 	}
 }
 
-func TestDiffNamesFieldsAdditionsAndRemovals(t *testing.T) {
+func TestDiffReportsFieldsAdditionsAndRemovals(t *testing.T) {
 	a := (*Config)(nil).With(Change{Services: []ServiceTemplate{service("s", 1), service("old", 1)}}, 1)
 	b := a.With(Change{Services: []ServiceTemplate{service("s", 2)}, RemoveServices: []fleet.Service{"old"}, Accounts: []AccountTemplate{account("a", "s")}}, 2)
 	d := Diff(a, b)
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestDecodeHeadRefusesWhatContradictsItself(t *testing.T) {
+func TestDecodeHeadRejectsInconsistentHeads(t *testing.T) {
 	for _, h := range []Head{
 		{Revision: 1, SnapshotRevision: 2, Shards: []Digest{{}}},
 		{Revision: 1, SnapshotRevision: 1},
--- a/coord/rollout/rapid_test.go
+++ b/coord/rollout/rapid_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Every run draws the same cases, so that it comes to the same verdict.
+// A fixed seed makes every run test the same cases, so that its result is reproducible.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/coord/rollout/shard.go
+++ b/coord/rollout/shard.go
@@ -16,13 +16,13 @@
 // ShardCount is the number of shards of a snapshot that this release writes.
 const ShardCount = 64
 
-// MaxValueBytes bounds an encoded head or shard: the largest value that the store holds.
+// MaxValueBytes bounds an encoded head or shard: it is the largest value that the store accepts.
 const MaxValueBytes = 1 << 20
 
 // Shard is one encoded part of a snapshot.
 type Shard struct {
 	Digest Digest `cbor:"1,keyasint"`
-	Data   []byte `cbor:"2,keyasint,omitempty"` // Empty in a message: the sender does not hold it.
+	Data   []byte `cbor:"2,keyasint,omitempty"` // Empty in a message when the sender does not have the shard.
 }
 
 // String returns the digest in hexadecimal.
@@ -35,15 +35,15 @@
 	return sha256.Sum256(data)
 }
 
-// shardContent is what an encoded shard holds, sorted by name. Revision makes each shard's
-// digest its own: a digest that has left the head never comes back.
+// shardContent is the content of an encoded shard, sorted by name. Revision makes every digest
+// unique, so that a digest that was removed from the head is never used again.
 type shardContent struct {
 	Revision fleet.Revision    `cbor:"3,keyasint"`
 	Services []ServiceTemplate `cbor:"1,keyasint,omitempty"`
 	Accounts []AccountTemplate `cbor:"2,keyasint,omitempty"`
 }
 
-// encoding is the deterministic form of CBOR: equal values have equal bytes and digests.
+// encoding is deterministic CBOR: equal values have equal bytes and digests.
 var encoding = mustEncoding()
 
 func mustEncoding() cbor.EncMode {
@@ -58,7 +58,7 @@
 	return int(xxhash.Sum64String(name) % uint64(buckets))
 }
 
-// encodeShards returns the shards of a configuration in order of bucket. Buckets for which
+// encodeShards returns the shards of a configuration, indexed by bucket. Buckets for which
 // wanted is false are left empty.
 func encodeShards(c *Config, buckets int, wanted func(bucket int) bool) ([]Shard, error) {
 	contents := make([]shardContent, buckets)
@@ -104,13 +104,13 @@
 	return Shard{Digest: DigestOf(data), Data: data}, nil
 }
 
-// Assemble returns the configuration of a head from its shards, which it asks of shardOf.
-// It returns ErrDigest or ErrMalformed.
+// Assemble returns the configuration of a head from its shards, which shardOf returns.
+// It returns ErrDigestMismatch or ErrMalformed.
 func Assemble(h Head, shardOf func(Digest) []byte) (*Config, error) {
-	if err := h.check(); err != nil {
+	if err := h.validate(); err != nil {
 		return nil, err
 	}
-	if !h.complete() {
+	if !h.hasChangesSinceSnapshot() {
 		return nil, fmt.Errorf("%w: changes after snapshot %d are missing", ErrMalformed, h.SnapshotRevision)
 	}
 	c := &Config{
@@ -134,7 +134,7 @@
 
 func (c *Config) addShard(d Digest, data []byte, names *interner) error {
 	if DigestOf(data) != d {
-		return fmt.Errorf("%w: shard %v, %d bytes", ErrDigest, d, len(data))
+		return fmt.Errorf("%w: shard %v, %d bytes", ErrDigestMismatch, d, len(data))
 	}
 	var content shardContent
 	if err := cbor.Unmarshal(data, &content); err != nil {
@@ -144,13 +144,13 @@
 		c.Services[t.Name] = t
 	}
 	for _, t := range content.Accounts {
-		names.account(&t)
+		names.internServices(&t)
 		c.Accounts[t.Name] = t
 	}
 	return nil
 }
 
-// interner shares the strings and lists that many client accounts have in common.
+// interner deduplicates the service names and lists that many client accounts share, to save memory.
 type interner struct {
 	services map[fleet.Service]fleet.Service
 	lists    map[string][]fleet.Service
@@ -161,7 +161,7 @@
 	return &interner{services: make(map[fleet.Service]fleet.Service), lists: make(map[string][]fleet.Service)}
 }
 
-func (n *interner) account(t *AccountTemplate) {
+func (n *interner) internServices(t *AccountTemplate) {
 	n.key = n.key[:0]
 	for _, s := range t.Services {
 		n.key = append(n.key, s...)
--- a/coord/rollout/validate.go
+++ b/coord/rollout/validate.go
@@ -10,7 +10,7 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Bounds of templates.
+// Limits of template fields.
 const (
 	MaxNameBytes = 128
 	MaxDeadline  = 10 * time.Minute
@@ -18,44 +18,44 @@
 	MaxWeight    = 1_000_000
 )
 
-// Fault is one fault of a template.
-type Fault struct {
+// FieldError describes one invalid field of a template.
+type FieldError struct {
 	Template string `json:"template"` // "service NAME" or "account NAME".
 	Field    string `json:"field"`
 	Value    string `json:"value"`
 	Text     string `json:"text"`    // What the value should be.
-	Unknown  bool   `json:"unknown"` // The value names a template that does not exist.
+	Unknown  bool   `json:"unknown"` // The value refers to a template that does not exist.
 }
 
-// String returns the fault as one line.
-func (f Fault) String() string {
+// String returns the error as one line.
+func (f FieldError) String() string {
 	return fmt.Sprintf("%s: %s is %s, %s", f.Template, f.Field, f.Value, f.Text)
 }
 
-// Validate returns every fault of the configuration, sorted by template and field.
-func (c *Config) Validate() []Fault {
-	var faults []Fault
+// Validate returns an error for every invalid field of the configuration, sorted by template and field.
+func (c *Config) Validate() []FieldError {
+	var fieldErrors []FieldError
 	for name, t := range c.Services {
-		faults = append(faults, t.faults(name)...)
+		fieldErrors = append(fieldErrors, t.validate(name)...)
 	}
 	for name, t := range c.Accounts {
-		faults = append(faults, c.accountFaults(name, t)...)
+		fieldErrors = append(fieldErrors, c.validateAccount(name, t)...)
 	}
-	slices.SortFunc(faults, func(a, b Fault) int {
+	slices.SortFunc(fieldErrors, func(a, b FieldError) int {
 		return cmp.Or(cmp.Compare(a.Template, b.Template), cmp.Compare(a.Field, b.Field), cmp.Compare(a.Value, b.Value))
 	})
-	return faults
+	return fieldErrors
 }
 
-// checker collects the faults of one template.
-type checker struct {
+// fieldChecker collects the field errors of one template.
+type fieldChecker struct {
 	template string
-	faults   []Fault
+	errors   []FieldError
 }
 
-func (k *checker) require(ok bool, field string, value any, text string) {
+func (k *fieldChecker) require(ok bool, field string, value any, text string) {
 	if !ok {
-		k.faults = append(k.faults, Fault{Template: k.template, Field: field, Value: fmt.Sprint(value), Text: text})
+		k.errors = append(k.errors, FieldError{Template: k.template, Field: field, Value: fmt.Sprint(value), Text: text})
 	}
 }
 
@@ -63,10 +63,10 @@
 	return name != "" && len(name) <= MaxNameBytes && !strings.ContainsAny(name, "/ \t\r\n\x00")
 }
 
-func (t ServiceTemplate) faults(key fleet.Service) []Fault {
-	k := checker{template: "service " + string(key)}
+func (t ServiceTemplate) validate(key fleet.Service) []FieldError {
+	k := fieldChecker{template: "service " + string(key)}
 	k.require(validName(string(t.Name)), "name", fmt.Sprintf("%q", t.Name), "must be 1 to 128 bytes without spaces and slashes")
-	k.require(t.Name == key, "name", fmt.Sprintf("%q", t.Name), "must be the name it is filed under")
+	k.require(t.Name == key, "name", fmt.Sprintf("%q", t.Name), "must equal the key of the template")
 	k.require(t.FloorSlots >= 0, "floor_slots", t.FloorSlots, "must not be negative")
 	k.require(t.Deadline > 0 && t.Deadline <= MaxDeadline, "deadline", t.Deadline, "must be above 0s and at most 10m")
 	k.require(t.RetryShare >= 0 && t.RetryShare <= 1, "retry_share", t.RetryShare, "must be 0 to 1")
@@ -78,22 +78,22 @@
 		field := fmt.Sprintf("routes[%d].path_prefix", i)
 		k.require(strings.HasPrefix(r.PathPrefix, "/"), field, fmt.Sprintf("%q", r.PathPrefix), "must begin with a slash")
 	}
-	return k.faults
+	return k.errors
 }
 
-func (c *Config) accountFaults(key fleet.Account, t AccountTemplate) []Fault {
-	k := checker{template: "account " + string(key)}
+func (c *Config) validateAccount(key fleet.Account, t AccountTemplate) []FieldError {
+	k := fieldChecker{template: "account " + string(key)}
 	k.require(validName(string(t.Name)), "name", fmt.Sprintf("%q", t.Name), "must be 1 to 128 bytes without spaces and slashes")
-	k.require(t.Name == key, "name", fmt.Sprintf("%q", t.Name), "must be the name it is filed under")
+	k.require(t.Name == key, "name", fmt.Sprintf("%q", t.Name), "must equal the key of the template")
 	k.require(t.Weight >= 1 && t.Weight <= MaxWeight, "weight", t.Weight, "must be 1 to 1000000")
 	for _, s := range t.Services {
 		if _, ok := c.Services[s]; ok {
 			continue
 		}
-		k.faults = append(k.faults, Fault{
+		k.errors = append(k.errors, FieldError{
 			Template: k.template, Field: "services", Value: fmt.Sprintf("%q", s),
 			Text: "no such service", Unknown: true,
 		})
 	}
-	return k.faults
+	return k.errors
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -196,11 +196,11 @@
 		result.CodePeerMalformed:  c.Malformed + c.Unsolicited,
 		result.CodeConfigDigest:   c.WrongDigest,
 		result.CodeConfigTooLarge: c.TooLarge,
-		result.CodeConfigFault:    c.StoreBehind,
+		result.CodeConfigFault:    c.StaleStoreReads,
 	})
 	if refused {
 		d.o.Log.Warn("configuration refused; the last good one stays in force",
 			"other_fleet", c.OtherFleet, "malformed", c.Malformed, "wrong_digest", c.WrongDigest,
-			"too_large", c.TooLarge, "store_behind", c.StoreBehind)
+			"too_large", c.TooLarge, "store_behind", c.StaleStoreReads)
 	}
 }
--- a/internal/edit/edit_test.go
+++ b/internal/edit/edit_test.go
@@ -38,7 +38,7 @@
 		}
 		after := others.With(change, 1)
 		touched := map[string]bool{}
-		for _, name := range change.Touched() {
+		for _, name := range change.TemplateNames() {
 			touched[name] = true
 		}
 		for _, d := range rollout.Diff(others, after) {
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -69,7 +69,7 @@
 
 // Apply makes a change under changeID, which must be unique to it, and repeats calls that
 // fail until ctx ends. base is the configuration that the operator made the change from;
-// nil stands for the one that the store holds now. It returns a rollout.FaultError, a
+// nil stands for the one that the store holds now. It returns a rollout.ValidationError, a
 // ConflictError, ErrNoChange, rollout.ErrTooLarge or what the store said last.
 func Apply(ctx context.Context, store metastore.Store, fleetName string, base *rollout.Config, change rollout.Change, changeID string) (Accepted, error) {
 	change.ID = changeID
@@ -96,14 +96,14 @@
 // retryable reports whether a call may succeed when it is repeated. A lost reply and a
 // conflict are settled by reading the head again.
 func retryable(err error) bool {
-	var faults *rollout.FaultError
+	var faults *rollout.ValidationError
 	var conflict *ConflictError
 	switch {
 	case errors.As(err, &faults), errors.As(err, &conflict):
 		return false
 	case errors.Is(err, rollout.ErrTooLarge), errors.Is(err, metastore.ErrTooLarge):
 		return false
-	case errors.Is(err, rollout.ErrMalformed), errors.Is(err, rollout.ErrDigest):
+	case errors.Is(err, rollout.ErrMalformed), errors.Is(err, rollout.ErrDigestMismatch):
 		return false
 	default:
 		return true
@@ -142,7 +142,7 @@
 	if err := s.accept(ctx, state, next, shards); err != nil {
 		return Accepted{}, state.config, err
 	}
-	s.retire(ctx, rollout.Retired(state.head, next))
+	s.retire(ctx, rollout.RetiredShards(state.head, next))
 	return Accepted{Revision: next.Revision, Config: state.config.With(change, next.Revision)}, state.config, nil
 }
 
@@ -153,7 +153,7 @@
 		return nil
 	}
 	touched := make(map[string]bool)
-	for _, name := range change.Touched() {
+	for _, name := range change.TemplateNames() {
 		touched[name] = true
 	}
 	var theirs []rollout.Difference
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -111,7 +111,7 @@
 
 func TestFaultsAndEmptyChangesAreRefused(t *testing.T) {
 	store := standin.New(standin.Options{})
-	if _, err := Apply(t.Context(), store, "f", nil, put(service("s", -1)), "bad"); !errors.Is(err, rollout.ErrFaults) {
+	if _, err := Apply(t.Context(), store, "f", nil, put(service("s", -1)), "bad"); !errors.Is(err, rollout.ErrInvalid) {
 		t.Fatalf("error %v", err)
 	}
 	if _, err := Apply(t.Context(), store, "f", nil, rollout.Change{}, "empty"); !errors.Is(err, ErrNoChange) {
