--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -1,18 +1,17 @@
-// Package fleet holds the identifiers that every coordination package shares.
-//
-// It has no behaviour of its own: a value of these types names an instance, one
-// life of an instance, a service, an upstream endpoint or a client account.
+// Package fleet defines the identifiers that the coordination packages share: of instances and
+// their incarnations, zones, services, upstream endpoints, client accounts and configurations.
+// It has no behaviour of its own.
 package fleet
 
 import "strconv"
 
-// InstanceID names an entry instance for as long as its address is in use.
+// InstanceID identifies an entry instance for as long as its address is in use.
 type InstanceID string
 
 // Zone names an availability zone.
 type Zone string
 
-// Region names a region, which holds one or more availability zones.
+// Region names a region, which consists of one or more availability zones.
 type Region string
 
 // Service names a service that upstreams offer.
@@ -27,10 +26,10 @@
 // Revision numbers the accepted configurations of a fleet, starting at 1.
 type Revision uint64
 
-// Incarnation numbers the lives of an instance: each start takes a higher one.
+// Incarnation numbers the runs of an instance: each start, and each rejoin, has a higher number.
 type Incarnation uint64
 
-// Ref names one life of one instance.
+// Ref identifies one incarnation of an instance.
 type Ref struct {
 	ID          InstanceID  `cbor:"1,keyasint" json:"id"`
 	Incarnation Incarnation `cbor:"2,keyasint" json:"incarnation"`
@@ -41,36 +40,36 @@
 	return string(r.ID) + "#" + strconv.FormatUint(uint64(r.Incarnation), 10)
 }
 
-// IsZero reports whether r names nothing.
+// IsZero reports whether r is the zero value, which identifies no instance.
 func (r Ref) IsZero() bool {
 	return r == Ref{}
 }
 
-// Instance describes one life of an entry instance.
+// Instance describes one incarnation of an entry instance.
 type Instance struct {
 	Ref       Ref    `cbor:"1,keyasint" json:"ref"`
 	Zone      Zone   `cbor:"2,keyasint" json:"zone"`
 	Region    Region `cbor:"3,keyasint" json:"region"`
 	EntryAddr string `cbor:"4,keyasint" json:"entry_addr"` // IP number and port for callers.
 	PeerAddr  string `cbor:"5,keyasint" json:"peer_addr"`  // IP number and port for other instances.
-	// OperatorAddr is the IP number and port for operators; empty when it is not known.
+	// OperatorAddr is the IP number and port for operators; empty when unknown.
 	OperatorAddr string `cbor:"6,keyasint,omitempty" json:"operator_addr,omitempty"`
 }
 
-// UpstreamState is what the platform's list says of an upstream endpoint.
+// UpstreamState is the state of an upstream endpoint in the platform's list.
 type UpstreamState uint8
 
-// States of an upstream endpoint in the platform's list.
+// Values of UpstreamState.
 const (
-	UpstreamCold    UpstreamState = iota + 1 // Started, not warm yet.
-	UpstreamReady                            // Takes work.
-	UpstreamLeaving                          // Finishes what it has, takes no new work.
+	UpstreamCold    UpstreamState = iota + 1 // Started but not warmed up.
+	UpstreamReady                            // Accepts requests.
+	UpstreamLeaving                          // Finishes its requests and accepts no new ones.
 )
 
 // Upstream is one upstream endpoint of a service.
 type Upstream struct {
 	Endpoint Endpoint      `cbor:"1,keyasint" json:"endpoint"`
 	Zone     Zone          `cbor:"2,keyasint" json:"zone"`
-	Slots    int           `cbor:"3,keyasint" json:"slots"` // Requests it can run at once.
+	Slots    int           `cbor:"3,keyasint" json:"slots"` // Maximum concurrent requests.
 	State    UpstreamState `cbor:"4,keyasint" json:"state"`
 }
--- a/coord/internal/mix/mix.go
+++ b/coord/internal/mix/mix.go
@@ -1,7 +1,7 @@
-// Package mix holds the mixing function that the coordination packages hash with.
+// Package mix provides the bit mixer that the coordination packages use for hashing.
 package mix
 
-// Mix spreads the bits of x over the whole word; it is a bijection.
+// Mix is the finalizer of SplitMix64: a bijection in which every bit of x affects every bit of the result.
 func Mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/coord/internal/window/window.go
+++ b/coord/internal/window/window.go
@@ -1,10 +1,11 @@
-// Package window counts two kinds of events over a sliding span of time.
+// Package window counts two kinds of events over a sliding window of time.
 package window
 
 import "time"
 
-// Pair counts events over the last slices. A count leaves it at most one slice late. It is
-// not safe for concurrent use.
+// Pair counts events in time slices of fixed length and drops the oldest slice as a whole. Of n
+// slices an event therefore stays for more than n-1 and at most n slice lengths. Pair is not
+// safe for concurrent use.
 type Pair struct {
 	slice   time.Duration
 	counts  [][2]int
@@ -12,12 +13,12 @@
 	current int64 // Number of the newest slice.
 }
 
-// New returns a window of a number of slices, each of a length.
+// New returns a window of the given number of slices, each of length slice.
 func New(slices int, slice time.Duration) Pair {
 	return Pair{slice: slice, counts: make([][2]int, slices)}
 }
 
-// advance moves the window to now.
+// advance drops the slices that have left the window by now.
 func (p *Pair) advance(now time.Time) {
 	n := now.UnixNano() / int64(p.slice)
 	if n-p.current >= int64(len(p.counts)) {
@@ -34,7 +35,7 @@
 	}
 }
 
-// Add counts one event of the first kind, or of the second.
+// Add counts one event, of the second kind or of the first.
 func (p *Pair) Add(now time.Time, second bool) {
 	p.advance(now)
 	kind := 0
@@ -45,7 +46,7 @@
 	p.sum[kind]++
 }
 
-// Sums returns the events of each kind within the window.
+// Sums returns the number of events of each kind within the window.
 func (p *Pair) Sums(now time.Time) (first, second int) {
 	p.advance(now)
 	return p.sum[0], p.sum[1]
--- a/coord/membership/api.go
+++ b/coord/membership/api.go
@@ -35,7 +35,7 @@
 // Statuses of an instance.
 const (
 	StatusAlive   Status = iota + 1
-	StatusSuspect        // At most half of its neighbours vote it unreachable.
+	StatusSuspect        // Some, but at most half of its neighbours vote it unreachable.
 	StatusLeaving        // It announced that it is stopping.
 	StatusDead           // More than half of its neighbours vote it unreachable, or it announced that it has stopped.
 )
--- a/coord/membership/config.go
+++ b/coord/membership/config.go
@@ -41,7 +41,7 @@
 	BatchInterval          time.Duration // Time during which roster changes are batched into one write.
 	WriteInterval          time.Duration // Minimum time between two roster writes by one instance.
 	WriterStagger          time.Duration // Additional delay per writer rank.
-	JoinInterval           time.Duration // Between two requests to join.
+	JoinInterval           time.Duration // Between two join requests.
 	JoinReadWait           time.Duration // Wait for an instance's roster before the store is read.
 	JoinWriteWait          time.Duration // Wait for another instance to add this one to the roster, before it adds itself.
 	RetryMin               time.Duration // First delay after a failed store call; doubled up to RetryMax.
@@ -86,5 +86,5 @@
 	RosterWrites   uint64
 	RosterReads    uint64
 	Conflicts      uint64 // Writes rejected because another instance wrote first, or with unknown result.
-	Syncs          uint64 // Exchanges of all facts.
+	Syncs          uint64 // Times that all facts were sent to a neighbour.
 }
--- a/coord/membership/gossip.go
+++ b/coord/membership/gossip.go
@@ -4,7 +4,7 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// handleFacts merges the facts that a neighbour sent.
+// handleFacts merges the facts of a message.
 func (m *Machine) handleFacts(from fleet.Ref, list []Fact) {
 	for _, f := range list {
 		if !m.relevant(f) {
--- a/coord/membership/property_test.go
+++ b/coord/membership/property_test.go
@@ -13,7 +13,7 @@
 // neighbours could receive from at all times. These must never be evicted.
 type checkedSimulation struct {
 	*simulation
-	mayBeEvicted     map[fleet.InstanceID]bool // Some time, more than half of its neighbours could not receive from it.
+	mayBeEvicted     map[fleet.InstanceID]bool // At some time more than half of its neighbours could not receive from it.
 	generation       map[fleet.InstanceID]uint64
 	storedGeneration uint64
 	overlay          *overlay // Of the stored roster; nil before the first check.
--- a/coord/result/codes.go
+++ b/coord/result/codes.go
@@ -1,6 +1,6 @@
 package result
 
-// Codes of answers to callers.
+// Codes of responses to callers.
 const (
 	CodeAnswered           Code = 1000
 	CodeNoRoute            Code = 1001
@@ -38,7 +38,7 @@
 	CodeOutcomePending     Code = 1117
 )
 
-// Codes of control: peers, configuration, health and the platform.
+// Codes of the control plane: peers, health, configuration, the roster, the platform's store, settings and operators.
 const (
 	CodePeerRefused        Code = 2000
 	CodePeerOtherFleet     Code = 2001
--- a/coord/result/result.go
+++ b/coord/result/result.go
@@ -1,24 +1,24 @@
-// Package result holds the numbered result codes that callers and operators see.
+// Package result defines the numbered result codes for callers and operators.
 //
-// A code is sent to callers in the header "Damaskcove-Code" and written in logs. The
-// table in docs/RESULT-CODES.md lists them; a test keeps the two equal.
+// A code is sent to callers in the header "Damaskcove-Code" and written to logs. Table must
+// equal the table in docs/RESULT-CODES.md, which a test checks.
 package result
 
 // Code is a numbered result. Codes are never renumbered or reused.
 type Code uint16
 
-// Execution says whether the request that a code answers was run by an upstream.
+// Execution reports whether an upstream executed the request that a code answers.
 type Execution uint8
 
-// What a code says about the execution of the request.
+// Values of Execution.
 const (
-	Ran     Execution = iota + 1 // It ran; the answer is the upstream's.
-	NotRun                       // It did not run and will not.
-	Unknown                      // It may have run.
-	None                         // The code does not answer a request to an upstream.
+	Ran     Execution = iota + 1 // It was executed; the answer is the upstream's.
+	NotRun                       // It was not executed and will not be.
+	Unknown                      // It may have been executed.
+	None                         // The code is not the outcome of a request to an upstream.
 )
 
-// String returns the word that callers see in the header "Damaskcove-Execution".
+// String returns the value of the header "Damaskcove-Execution".
 func (e Execution) String() string {
 	switch e {
 	case Ran:
@@ -35,8 +35,8 @@
 // Entry is one row of the table of codes.
 type Entry struct {
 	Code      Code
-	Name      string    // Stable name, for logs.
-	Status    int       // HTTP status sent with it; 0 when it is not sent to callers.
-	Execution Execution // What the caller may conclude.
-	Text      string    // One sentence for operators.
+	Name      string    // Stable name for logs.
+	Status    int       // HTTP status of the response; 0 when the code is not sent in one.
+	Execution Execution // Whether the request was executed.
+	Text      string    // Explanation for operators, one sentence.
 }
--- a/coord/result/result_test.go
+++ b/coord/result/result_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// tablePath is the page that lists the codes for operators and callers.
+// tablePath is the page that documents the codes for operators and callers.
 const tablePath = "../../docs/RESULT-CODES.md"
 
 // update rewrites the rows of the page: go test ./coord/result -update
 var update = flag.Bool("update", false, "rewrite the rows of the page of codes")
 
-// writeRows replaces the rows at the end of the page.
+// writeRows replaces the rows of the table at the end of the page.
 func writeRows(t *testing.T) {
 	t.Helper()
 	page, err := os.ReadFile(tablePath)
@@ -32,7 +32,7 @@
 	}
 }
 
-// row returns the line of the page for an entry.
+// row returns the table row of an entry.
 func row(e Entry) string {
 	status := "-"
 	if e.Status != 0 {
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("| %d | %s | %s | %s | %s |", e.Code, e.Name, status, e.Execution, e.Text)
 }
 
-func TestThePageListsEveryCodeAndNoOther(t *testing.T) {
+func TestPageListsExactlyTheTableOfCodes(t *testing.T) {
 	if *update {
 		writeRows(t)
 	}
@@ -79,10 +79,10 @@
 	}
 }
 
-func TestNotRunIsNeverSentWithASuccess(t *testing.T) {
+func TestNotRunCodesHaveErrorStatus(t *testing.T) {
 	for _, e := range Table {
 		if e.Execution == NotRun && e.Status < 400 {
-			t.Errorf("code %d says not-run with status %d", e.Code, e.Status)
+			t.Errorf("code %d is not-run with status %d", e.Code, e.Status)
 		}
 	}
 }
--- a/coord/rollout/api.go
+++ b/coord/rollout/api.go
@@ -6,7 +6,7 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Config is the whole configuration by operators at one revision. It is immutable once published.
+// Config is the complete configuration by operators at one revision. It is immutable once published.
 type Config struct {
 	Revision fleet.Revision                    `cbor:"1,keyasint" json:"revision"`
 	Services map[fleet.Service]ServiceTemplate `cbor:"2,keyasint" json:"services"`
--- a/coord/rollout/errors.go
+++ b/coord/rollout/errors.go
@@ -35,5 +35,5 @@
 	return b.String()
 }
 
-// Unwrap returns ErrFaults.
+// Unwrap returns ErrInvalid.
 func (e *ValidationError) Unwrap() error { return ErrInvalid }
--- a/coord/rollout/machine.go
+++ b/coord/rollout/machine.go
@@ -18,7 +18,7 @@
 // MachineConfig holds the settings of a Machine. Zero times take the defaults.
 type MachineConfig struct {
 	Fleet          string
-	RequestTimeout time.Duration // Time without a reply before another peer is asked for a head.
+	RequestTimeout time.Duration // Time without a reply before a head is requested from another peer.
 	ShardTimeout   time.Duration // Time without a reply before a shard is requested from another source.
 	StartWait      time.Duration // Maximum wait for the peers' replies at the start, when the store does not answer.
 	ReadInterval   time.Duration // Time between reads of the store's head while there is no configuration.
@@ -212,9 +212,9 @@
 	m.peerRevisions[peer] = max(m.peerRevisions[peer], r)
 }
 
-// answerHeadRequest sends the changes after the requested revision, or those after the snapshot
-// when the inline changes do not reach back that far. An empty head means that this instance
-// has no configuration.
+// answerHeadRequest sends the head with the changes after the requested revision, or with those
+// after the snapshot when the inline changes do not reach back that far. An empty head means
+// that this instance has no configuration.
 func (m *Machine) answerHeadRequest(to fleet.Ref, req HeadRequest) {
 	if m.current == nil {
 		m.send(to, Message{Head: &Head{}})
--- a/coord/rollout/propose.go
+++ b/coord/rollout/propose.go
@@ -33,7 +33,7 @@
 }
 
 // withChange returns the head after one more change, with as many inline changes as the bounds
-// allow. When these no longer reach back to the snapshot, a new snapshot is needed.
+// allow. When these no longer reach back to the snapshot, hasChangesSinceSnapshot is false.
 func (h Head) withChange(change Change) (Head, error) {
 	next := h
 	next.Revision = change.Revision
