--- a/coord/broker/broker_test.go
+++ b/coord/broker/broker_test.go
@@ -16,7 +16,7 @@
 func zone(links ...float64) []Instance {
 	var list []Instance
 	for k, link := range links {
-		list = append(list, Instance{Life: uint64(100 + k), Key: fmt.Sprintf("edge-%02d", k), Link: link})
+		list = append(list, Instance{Incarnation: uint64(100 + k), Key: fmt.Sprintf("edge-%02d", k), LinkMbps: link})
 	}
 	return list
 }
@@ -40,7 +40,7 @@
 		"five fast":             {[]float64{200, 200, 200, 200, 200}, []string{"edge-00", "edge-01", "edge-02"}},
 		"one fast, two as good": {[]float64{20, 200, 20}, []string{"edge-01", "edge-00"}},
 	} {
-		if got := keys(Keepers(zone(tc.links...))); !slices.Equal(got, tc.want) {
+		if got := keys(Coordinators(zone(tc.links...))); !slices.Equal(got, tc.want) {
 			t.Errorf("%s: got %v, want %v", name, got, tc.want)
 		}
 	}
@@ -50,12 +50,12 @@
 // their lives, and services are spread over all of them.
 func TestAllRankAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := zone(rapid.SliceOfN(rapid.Just(200.0), 2, KeepersMost).Draw(t, "keepers")...)
+		list := zone(rapid.SliceOfN(rapid.Just(200.0), 2, MaxCoordinators).Draw(t, "keepers")...)
 		service := rapid.String().Draw(t, "service")
 		want := keys(Rank(service, list))
 		shuffled := rapid.Permutation(list).Draw(t, "order")
 		for k := range shuffled {
-			shuffled[k].Life += 1000
+			shuffled[k].Incarnation += 1000
 		}
 		if got := keys(Rank(service, shuffled)); !slices.Equal(got, want) {
 			t.Fatalf("%v and %v", got, want)
@@ -67,7 +67,7 @@
 		first[Rank(fmt.Sprint("service-", k), zone(200, 200, 200))[0].Key]++
 	}
 	for key, n := range first {
-		if n < services/KeepersMost/2 {
+		if n < services/MaxCoordinators/2 {
 			t.Errorf("%s is first for %d of %d services", key, n, services)
 		}
 	}
@@ -80,11 +80,11 @@
 	if got, ok := s.Pick(start, ranked); !ok || got.Key != "edge-00" {
 		t.Errorf("asks %v", got)
 	}
-	s.Silent(start, ranked[0].Life)
+	s.Add(start, ranked[0].Incarnation)
 	if got, ok := s.Pick(start, ranked); !ok || got.Key != "edge-01" {
 		t.Errorf("asks %v after the first was silent", got)
 	}
-	s.Silent(start, ranked[1].Life)
+	s.Add(start, ranked[1].Incarnation)
 	if got, ok := s.Pick(start, ranked); ok {
 		t.Errorf("asks %v though both were silent", got)
 	}
@@ -92,8 +92,8 @@
 		t.Errorf("asks %v after a while", got)
 	}
 	again := slices.Clone(ranked)
-	again[0].Life += 1000
-	s.Silent(start, ranked[0].Life)
+	again[0].Incarnation += 1000
+	s.Add(start, ranked[0].Incarnation)
 	if got, ok := s.Pick(start, again); !ok || got.Key != "edge-00" {
 		t.Errorf("asks %v though the first was restarted", got)
 	}
@@ -102,18 +102,18 @@
 // Questions, ends and losses in any order: every grant is counted out exactly once.
 func TestEveryGrantIsCountedOutOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewLedger()
+		l := NewGrantTable()
 		inFlight := make(map[dispatch.EndpointID]int)
-		granted := make(map[Ticket]time.Time)
+		granted := make(map[GrantID]time.Time)
 		now := start
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			ticket := Ticket{Asker: rapid.Uint64Range(1, 3).Draw(t, "asker"), Seq: rapid.Uint64Range(1, 12).Draw(t, "seq")}
+			ticket := GrantID{Requester: rapid.Uint64Range(1, 3).Draw(t, "asker"), Seq: rapid.Uint64Range(1, 12).Draw(t, "seq")}
 			endpoint := dispatch.EndpointID(rapid.Uint32Range(1, 4).Draw(t, "endpoint"))
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				until := now.Add(time.Second)
-				if l.Granted(ticket, endpoint, until) {
+				if l.Add(ticket, endpoint, until) {
 					if _, twice := granted[ticket]; twice {
 						t.Fatalf("ticket %v granted twice", ticket)
 					}
@@ -121,7 +121,7 @@
 					inFlight[endpoint]++
 				}
 			case 1:
-				if id, ok := l.Ended(ticket); ok {
+				if id, ok := l.Remove(ticket); ok {
 					delete(granted, ticket)
 					inFlight[id]--
 				}
--- a/coord/broker/ledger.go
+++ b/coord/broker/ledger.go
@@ -6,10 +6,10 @@
 	"github.com/damaskcove/damaskcove/coord/dispatch"
 )
 
-// Ticket names one request of one instance's life.
-type Ticket struct {
-	Asker uint64
-	Seq   uint64
+// GrantID names one request of one instance's life.
+type GrantID struct {
+	Requester uint64
+	Seq       uint64
 }
 
 // entry is one grant.
@@ -18,20 +18,20 @@
 	until    time.Time // The request is over by then, whether its end was told or not.
 }
 
-// Ledger is what a broker has granted and not been told the end of. It is not safe for
+// GrantTable is what a broker has granted and not been told the end of. It is not safe for
 // concurrent use.
-type Ledger struct {
-	open map[Ticket]entry
+type GrantTable struct {
+	open map[GrantID]entry
 }
 
-// NewLedger returns an empty Ledger.
-func NewLedger() *Ledger {
-	return &Ledger{open: make(map[Ticket]entry)}
+// NewGrantTable returns an empty GrantTable.
+func NewGrantTable() *GrantTable {
+	return &GrantTable{open: make(map[GrantID]entry)}
 }
 
-// Granted enters a grant that is over by a moment. It returns false where the ticket has one
+// Add enters a grant that is over by a moment. It returns false where the ticket has one
 // already: the question came twice.
-func (l *Ledger) Granted(t Ticket, endpoint dispatch.EndpointID, until time.Time) bool {
+func (l *GrantTable) Add(t GrantID, endpoint dispatch.EndpointID, until time.Time) bool {
 	if _, ok := l.open[t]; ok {
 		return false
 	}
@@ -39,21 +39,21 @@
 	return true
 }
 
-// Holds tells whether a ticket has a grant whose end was not told, and for which endpoint.
-func (l *Ledger) Holds(t Ticket) (dispatch.EndpointID, bool) {
+// Lookup tells whether a ticket has a grant whose end was not told, and for which endpoint.
+func (l *GrantTable) Lookup(t GrantID) (dispatch.EndpointID, bool) {
 	e, ok := l.open[t]
 	return e.endpoint, ok
 }
 
-// Ended takes out a grant. ok is false where there is none, or its end was told before.
-func (l *Ledger) Ended(t Ticket) (_ dispatch.EndpointID, ok bool) {
+// Remove takes out a grant. ok is false where there is none, or its end was told before.
+func (l *GrantTable) Remove(t GrantID) (_ dispatch.EndpointID, ok bool) {
 	e, ok := l.open[t]
 	delete(l.open, t)
 	return e.endpoint, ok
 }
 
 // Expire takes out the grants that are over, and returns their endpoints.
-func (l *Ledger) Expire(now time.Time) []dispatch.EndpointID {
+func (l *GrantTable) Expire(now time.Time) []dispatch.EndpointID {
 	var over []dispatch.EndpointID
 	for t, e := range l.open {
 		if !now.Before(e.until) {
@@ -65,6 +65,6 @@
 }
 
 // Len returns the number of grants.
-func (l *Ledger) Len() int {
+func (l *GrantTable) Len() int {
 	return len(l.open)
 }
--- a/coord/broker/rank.go
+++ b/coord/broker/rank.go
@@ -11,26 +11,26 @@
 
 // Instance is one instance that may become a keeper.
 type Instance struct {
-	Life uint64  // Names one life of the instance.
-	Key  string  // Orders instances with links alike; it outlives a restart.
-	Link float64 // Mbit/s of its link, which goes with its processor.
+	Incarnation uint64  // Names one life of the instance.
+	Key         string  // Orders instances with links alike; it outlives a restart.
+	LinkMbps    float64 // Mbit/s of its link, which goes with its processor.
 }
 
 const (
-	// KeepersMost is the most keepers of a zone.
-	KeepersMost = 3
+	// MaxCoordinators is the most keepers of a zone.
+	MaxCoordinators = 3
 	// keepersLeast is the fewest, so that the death of one leaves another.
 	keepersLeast = 2
 )
 
-// Keepers returns the keepers of a zone: its instances with the fastest links, two or three.
+// Coordinators returns the keepers of a zone: its instances with the fastest links, two or three.
 // The order of list is changed.
-func Keepers(list []Instance) []Instance {
+func Coordinators(list []Instance) []Instance {
 	slices.SortFunc(list, func(a, b Instance) int {
-		return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.Key, b.Key))
 	})
 	n := 0
-	for n < min(len(list), KeepersMost) && (n < keepersLeast || list[n].Link == list[0].Link) {
+	for n < min(len(list), MaxCoordinators) && (n < keepersLeast || list[n].LinkMbps == list[0].LinkMbps) {
 		n++
 	}
 	return list[:n]
@@ -61,8 +61,8 @@
 	until map[uint64]time.Time
 }
 
-// Silent notes that a broker did not answer.
-func (s *Suspects) Silent(now time.Time, life uint64) {
+// Add notes that a broker did not answer.
+func (s *Suspects) Add(now time.Time, life uint64) {
 	if s.until == nil {
 		s.until = make(map[uint64]time.Time)
 	}
@@ -72,17 +72,17 @@
 // Pick returns the first of some brokers that is not suspect; ok is false where all are.
 func (s *Suspects) Pick(now time.Time, ranked []Instance) (_ Instance, ok bool) {
 	for _, i := range ranked {
-		if until, silent := s.until[i.Life]; !silent || !now.Before(until) {
-			delete(s.until, i.Life)
+		if until, silent := s.until[i.Incarnation]; !silent || !now.Before(until) {
+			delete(s.until, i.Incarnation)
 			return i, true
 		}
 	}
 	return Instance{}, false
 }
 
-// ZoneOf returns the zone whose brokers place work on the endpoints of a zone: itself where it
+// BrokerZone returns the zone whose brokers place work on the endpoints of a zone: itself where it
 // has instances, else one of those that do.
-func ZoneOf(zone string, withInstances []string) string {
+func BrokerZone(zone string, withInstances []string) string {
 	if len(withInstances) == 0 || slices.Contains(withInstances, zone) {
 		return zone
 	}
--- a/coord/dispatch/doc.go
+++ b/coord/dispatch/doc.go
@@ -12,7 +12,7 @@
 //
 // Guarantees:
 //
-//   - Each Ask gets a Grant or a Rejection at once.
-//   - No Grant names an endpoint that is leaving or that the Ask has tried already.
+//   - Each Request gets a Grant or a Rejection at once.
+//   - No Grant names an endpoint that is leaving or that the Request has tried already.
 //   - A repeat is granted only within the service's retry budget.
 package dispatch
--- a/coord/dispatch/endpoint.go
+++ b/coord/dispatch/endpoint.go
@@ -10,9 +10,9 @@
 type tracked struct {
 	Endpoint
 	joined   time.Time
-	own      int          // This instance's requests in flight.
-	peers    map[Peer]int // Other instances' requests in flight.
-	inFlight int          // Sum of own and peers.
+	own      int            // This instance's requests in flight.
+	peers    map[PeerID]int // Other instances' requests in flight.
+	inFlight int            // Sum of own and peers.
 	estimate outlook.Estimate
 	took     average[time.Duration] // Time of served requests.
 	used     time.Time              // Last start by any instance; zero before the first.
@@ -45,7 +45,7 @@
 	t.inFlight = max(t.inFlight-1, 0)
 }
 
-func (t *tracked) setPeer(p Peer, inFlight int) {
+func (t *tracked) setPeer(p PeerID, inFlight int) {
 	t.inFlight += inFlight - t.peers[p]
 	if inFlight == 0 {
 		delete(t.peers, p)
--- a/coord/dispatch/machine.go
+++ b/coord/dispatch/machine.go
@@ -16,7 +16,7 @@
 	blind     time.Time // Until when repeats of others may have gone uncounted: the start, or the end of a cut.
 	services  map[string]*service
 	endpoints map[EndpointID]*tracked
-	heard     map[Peer]heard
+	heard     map[PeerID]heard
 	sizes     map[string]*average[float64] // Kilobytes of answers, by class.
 	reports   []Event                      // Not yet taken.
 	urgent    bool                         // One of them tells of a failure, a repeat or a trial.
@@ -39,7 +39,7 @@
 		blind:     now,
 		services:  make(map[string]*service),
 		endpoints: make(map[EndpointID]*tracked),
-		heard:     make(map[Peer]heard),
+		heard:     make(map[PeerID]heard),
 		sizes:     make(map[string]*average[float64]),
 	}
 }
@@ -69,7 +69,7 @@
 	for _, e := range list {
 		t := m.endpoints[e.ID]
 		if t == nil || t.Service != e.Service || t.Address != e.Address || !t.Started.Equal(e.Started) {
-			t = &tracked{joined: now, peers: make(map[Peer]int), estimate: outlook.New(m.cfg.Rates, now)}
+			t = &tracked{joined: now, peers: make(map[PeerID]int), estimate: outlook.New(m.cfg.HealthModel, now)}
 		}
 		t.Endpoint = e
 		next[e.ID] = t
@@ -82,44 +82,44 @@
 func (m *Machine) service(name string) *service {
 	s := m.services[name]
 	if s == nil {
-		s = &service{budget: retrybudget.New(m.cfg.Retry, m.blind), recent: window.New(recentSlices, recentSlice)}
+		s = &service{budget: retrybudget.New(m.cfg.RetryBound, m.blind), recent: window.New(recentSlices, recentSlice)}
 		m.services[name] = s
 	}
 	return s
 }
 
-// Ask gives a request an endpoint, or turns it away.
-func (m *Machine) Ask(now time.Time, a Ask) (Grant, *Rejection) {
+// Acquire gives a request an endpoint, or turns it away.
+func (m *Machine) Acquire(now time.Time, a Request) (Grant, *Rejection) {
 	s := m.service(a.Service)
 	left := a.Deadline.Sub(now)
-	mayRepeat := (a.Idempotent || a.Repeat) && !m.deferred(now) && s.budget.Allows(now, m.budgetShare(now))
-	if a.Repeat && !mayRepeat {
-		return Grant{}, &Rejection{Reason: BudgetSpent, Left: left}
+	mayRepeat := (a.Idempotent || a.Retry) && !m.deferred(now) && s.budget.Allows(now, m.budgetShare(now))
+	if a.Retry && !mayRepeat {
+		return Grant{}, &Rejection{Reason: RetryBudgetExhausted, TimeLeft: left}
 	}
-	a.repeatable = a.Idempotent && !a.Repeat && mayRepeat
+	a.repeatable = a.Idempotent && !a.Retry && mayRepeat
 	c, ok := m.choose(now, s, &a)
 	switch {
 	case !ok:
-		return Grant{}, &Rejection{Reason: NoEndpoint, RetryAfter: s.usual(), Left: left}
+		return Grant{}, &Rejection{Reason: NoEndpoint, RetryAfter: s.usual(), TimeLeft: left}
 	case a.Hedge && (c.chance < coverChance || c.endpoint.inFlight >= c.endpoint.Slots-1):
-		return Grant{}, &Rejection{Reason: NoSpare, Left: left}
-	case a.Least > 0 && c.worth < a.Least:
-		return Grant{}, &Rejection{Reason: Poor, Best: c.worth, Left: left}
+		return Grant{}, &Rejection{Reason: NoSpareSlot, TimeLeft: left}
+	case a.MinScore > 0 && c.worth < a.MinScore:
+		return Grant{}, &Rejection{Reason: ScoreTooLow, BestScore: c.worth, TimeLeft: left}
 	case c.lost(left, a.Idempotent):
-		return Grant{}, &Rejection{Reason: Overloaded, RetryAfter: s.usual(), Expected: c.finish, Left: left}
+		return Grant{}, &Rejection{Reason: Overloaded, RetryAfter: s.usual(), ExpectedLatency: c.finish, TimeLeft: left}
 	}
-	return m.start(now, s, c, a.Repeat), nil
+	return m.start(now, s, c, a.Retry), nil
 }
 
-// Seasoned tells whether this instance has counted for a whole retry window.
-func (m *Machine) Seasoned(now time.Time) bool {
-	return now.Sub(m.blind) >= m.cfg.Retry.Window
+// HasFullRetryWindow tells whether this instance has counted for a whole retry window.
+func (m *Machine) HasFullRetryWindow(now time.Time) bool {
+	return now.Sub(m.blind) >= m.cfg.RetryBound.Window
 }
 
 // deferred tells whether repeats are left to others: they know what was spent before this
 // instance started, and may be spending all of the budget.
 func (m *Machine) deferred(now time.Time) bool {
-	if m.Seasoned(now) {
+	if m.HasFullRetryWindow(now) {
 		return false
 	}
 	for _, h := range m.heard {
@@ -157,19 +157,19 @@
 	s.budget.Sent(now, repeat)
 	kind := Started
 	if repeat {
-		kind = Repeated
+		kind = Retried
 	}
 	m.report(e, kind, 0)
 	m.urgent = m.urgent || repeat || c.chance < unprovenChance
-	return Grant{Endpoint: e.Endpoint, Chance: c.chance, InFlight: e.inFlight, Usual: e.took.or(s.usual())}
+	return Grant{Endpoint: e.Endpoint, Chance: c.chance, InFlight: e.inFlight, BaselineLatency: e.took.or(s.usual())}
 }
 
 func (m *Machine) report(e *tracked, kind EventKind, took time.Duration) {
-	if m.cfg.Alone {
+	if m.cfg.NoReports {
 		return
 	}
-	m.reports = append(m.reports, Event{Endpoint: e.ID, InFlight: e.own, Kind: kind, Took: int(took.Milliseconds())})
-	m.urgent = m.urgent || kind == EndedFailed || kind == EndedBroken || kind == RunsLong
+	m.reports = append(m.reports, Event{Endpoint: e.ID, InFlight: e.own, Kind: kind, LatencyMillis: int(took.Milliseconds())})
+	m.urgent = m.urgent || kind == EndedFailed || kind == EndedBroken || kind == Overdue
 }
 
 // Ended takes in the end of a granted request.
@@ -184,8 +184,8 @@
 	m.report(e, kind, took)
 }
 
-// Unreachable takes in that a granted request could not be sent from this instance.
-func (m *Machine) Unreachable(now time.Time, id EndpointID) {
+// SendFailed takes in that a granted request could not be sent from this instance.
+func (m *Machine) SendFailed(now time.Time, id EndpointID) {
 	e := m.endpoints[id]
 	if e == nil {
 		return
@@ -195,33 +195,33 @@
 	m.report(e, EndedUnknown, 0)
 }
 
-// Unreached takes in that an instance to which this one had granted an endpoint could not
+// RemoteSendFailed takes in that an instance to which this one had granted an endpoint could not
 // reach it. Where others can, their answers soon outweigh it.
-func (m *Machine) Unreached(now time.Time, id EndpointID) {
+func (m *Machine) RemoteSendFailed(now time.Time, id EndpointID) {
 	if e := m.endpoints[id]; e != nil {
 		e.release()
-		e.estimate.Observe(m.cfg.Rates, now, outlook.Broken)
+		e.estimate.Observe(m.cfg.HealthModel, now, outlook.Broken)
 	}
 }
 
-// Witnessed takes in how a request ended that a broker had granted.
-func (m *Machine) Witnessed(now time.Time, id EndpointID, kind EventKind, took time.Duration) {
+// BrokeredEnded takes in how a request ended that a broker had granted.
+func (m *Machine) BrokeredEnded(now time.Time, id EndpointID, kind EventKind, took time.Duration) {
 	if e := m.endpoints[id]; e != nil {
 		m.learn(now, e, kind, took)
 	}
 }
 
-// CutOff takes in that an endpoint could not be reached from this instance, for a request
+// BrokeredSendFailed takes in that an endpoint could not be reached from this instance, for a request
 // that a broker had granted.
-func (m *Machine) CutOff(now time.Time, id EndpointID) {
+func (m *Machine) BrokeredSendFailed(now time.Time, id EndpointID) {
 	if e := m.endpoints[id]; e != nil {
 		e.reach.fail(now)
 	}
 }
 
-// OutOfReach returns the endpoints of a service that this instance does not get through to, at
+// UnreachableEndpoints returns the endpoints of a service that this instance does not get through to, at
 // most some.
-func (m *Machine) OutOfReach(now time.Time, service string, most int) []EndpointID {
+func (m *Machine) UnreachableEndpoints(now time.Time, service string, most int) []EndpointID {
 	var out []EndpointID
 	for _, e := range m.service(service).endpoints {
 		if now.Before(e.reach.until) && len(out) < most {
@@ -234,17 +234,17 @@
 // Endpoint returns an endpoint that takes work; ok is false where there is none of that ID.
 func (m *Machine) Endpoint(id EndpointID) (_ Endpoint, ok bool) {
 	e := m.endpoints[id]
-	if e == nil || e.Leaving {
+	if e == nil || e.Draining {
 		return Endpoint{}, false
 	}
 	return e.Endpoint, true
 }
 
-// RunsLong takes in that a granted request has had no answer for many times the usual time.
-func (m *Machine) RunsLong(now time.Time, id EndpointID) {
+// Overdue takes in that a granted request has had no answer for many times the usual time.
+func (m *Machine) Overdue(now time.Time, id EndpointID) {
 	if e := m.endpoints[id]; e != nil {
-		m.learn(now, e, RunsLong, 0)
-		m.report(e, RunsLong, 0)
+		m.learn(now, e, Overdue, 0)
+		m.report(e, Overdue, 0)
 	}
 }
 
@@ -254,7 +254,7 @@
 	if !ok {
 		return
 	}
-	e.estimate.Observe(m.cfg.Rates, now, outcome)
+	e.estimate.Observe(m.cfg.HealthModel, now, outcome)
 	s := m.service(e.Service)
 	switch kind {
 	case EndedServed:
@@ -267,8 +267,8 @@
 	}
 }
 
-// Report takes in what another instance tells, and whether that one is Seasoned.
-func (m *Machine) Report(now time.Time, from Peer, seasoned bool, events []Event) {
+// HandleReport takes in what another instance tells, and whether that one HasFullRetryWindow.
+func (m *Machine) HandleReport(now time.Time, from PeerID, seasoned bool, events []Event) {
 	m.heard[from] = heard{at: now, seasoned: seasoned}
 	for _, ev := range events {
 		e := m.endpoints[ev.Endpoint]
@@ -277,17 +277,17 @@
 		}
 		e.setPeer(from, max(ev.InFlight, 0))
 		switch ev.Kind {
-		case Started, Repeated:
+		case Started, Retried:
 			e.used = now
-			m.service(e.Service).budget.Sent(now, ev.Kind == Repeated)
+			m.service(e.Service).budget.Sent(now, ev.Kind == Retried)
 		default:
-			m.learn(now, e, ev.Kind, time.Duration(ev.Took)*time.Millisecond)
+			m.learn(now, e, ev.Kind, time.Duration(ev.LatencyMillis)*time.Millisecond)
 		}
 	}
 }
 
-// Forget drops what peers that have been silent for long, or are gone, had in flight.
-func (m *Machine) Forget(now time.Time) {
+// ExpirePeers drops what peers that have been silent for long, or are gone, had in flight.
+func (m *Machine) ExpirePeers(now time.Time) {
 	if 2*m.heardNow(now) < m.peers {
 		m.blind = now
 	}
@@ -305,7 +305,7 @@
 // Chance returns the estimated chance that an endpoint serves the next request; 0 where it is not known.
 func (m *Machine) Chance(now time.Time, id EndpointID) float64 {
 	if e := m.endpoints[id]; e != nil {
-		return e.estimate.At(m.cfg.Rates, now)
+		return e.estimate.At(m.cfg.HealthModel, now)
 	}
 	return 0
 }
--- a/coord/dispatch/machine_test.go
+++ b/coord/dispatch/machine_test.go
@@ -15,8 +15,8 @@
 
 var testConfig = Config{
 	Zone:        "a",
-	Rates:       outlook.Rates{GoodSpell: 21 * time.Second, BadSpell: 9 * time.Second},
-	Retry:       retrybudget.Bound{Window: 10 * time.Second, Ratio: 0.2, Extra: 60},
+	HealthModel: outlook.Model{MeanHealthy: 21 * time.Second, MeanFailing: 9 * time.Second},
+	RetryBound:  retrybudget.Bound{Window: 10 * time.Second, Ratio: 0.2, Extra: 60},
 	FloorShare:  0.7,
 	PeerTimeout: 6 * time.Second,
 }
@@ -35,19 +35,19 @@
 }
 
 func newMachine(list []Endpoint) *Machine {
-	m := New(testConfig, start.Add(-testConfig.Retry.Window), rand.NewPCG(1, 2))
+	m := New(testConfig, start.Add(-testConfig.RetryBound.Window), rand.NewPCG(1, 2))
 	m.SetEndpoints(start, list)
 	return m
 }
 
-func ask(now time.Time) Ask {
-	return Ask{Service: "orders", Objective: now.Add(1200 * time.Millisecond), Deadline: now.Add(5 * time.Second)}
+func ask(now time.Time) Request {
+	return Request{Service: "orders", Objective: now.Add(1200 * time.Millisecond), Deadline: now.Add(5 * time.Second)}
 }
 
 // grant asks once and returns the endpoint granted.
 func grant(t *testing.T, m *Machine, now time.Time) Endpoint {
 	t.Helper()
-	g, rejection := m.Ask(now, ask(now))
+	g, rejection := m.Acquire(now, ask(now))
 	if rejection != nil {
 		t.Fatalf("turned away: %+v", rejection)
 	}
@@ -56,7 +56,7 @@
 
 func TestAFailureSeenAnywhereKeepsWorkAway(t *testing.T) {
 	m := newMachine(endpoints(3))
-	m.Report(start, 7, true, []Event{{Endpoint: 1, Kind: EndedServed, Took: 300}, {Endpoint: 2, Kind: EndedServed, Took: 300}, {Endpoint: 3, Kind: EndedFailed, Took: 3}})
+	m.HandleReport(start, 7, true, []Event{{Endpoint: 1, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 2, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 3, Kind: EndedFailed, LatencyMillis: 3}})
 	for i := range 8 {
 		if got := grant(t, m, start); got.ID == 3 {
 			t.Errorf("request %d goes to the endpoint that has just failed", i)
@@ -69,9 +69,9 @@
 	list[1].Zone = list[0].Zone
 	m := newMachine(list)
 	for id := EndpointID(1); id <= 2; id++ {
-		m.Report(start, 7, true, []Event{{Endpoint: id, Kind: EndedServed, Took: 300}})
+		m.HandleReport(start, 7, true, []Event{{Endpoint: id, Kind: EndedServed, LatencyMillis: 300}})
 	}
-	m.Report(start, 7, true, []Event{{Endpoint: 1, InFlight: 4, Kind: Started}})
+	m.HandleReport(start, 7, true, []Event{{Endpoint: 1, InFlight: 4, Kind: Started}})
 	for i := range 4 {
 		if got := grant(t, m, start); got.ID != 2 {
 			t.Errorf("request %d goes to the endpoint that another instance has filled", i)
@@ -82,7 +82,7 @@
 func TestAnotherLifeUnderTheSameIDStartsUnknown(t *testing.T) {
 	list := endpoints(1)
 	m := newMachine(list)
-	m.Report(start, 7, true, []Event{{Endpoint: 1, InFlight: 3, Kind: EndedFailed}})
+	m.HandleReport(start, 7, true, []Event{{Endpoint: 1, InFlight: 3, Kind: EndedFailed}})
 	list[0].Started = start
 	m.SetEndpoints(start, list)
 	if e := m.endpoints[1]; e.inFlight != 0 || m.Chance(start, 1) < 0.5 {
@@ -92,8 +92,8 @@
 
 func TestASilentPeersWorkIsForgotten(t *testing.T) {
 	m := newMachine(endpoints(1))
-	m.Report(start, 7, true, []Event{{Endpoint: 1, InFlight: 4, Kind: Started}})
-	m.Forget(start.Add(testConfig.PeerTimeout))
+	m.HandleReport(start, 7, true, []Event{{Endpoint: 1, InFlight: 4, Kind: Started}})
+	m.ExpirePeers(start.Add(testConfig.PeerTimeout))
 	if got := m.endpoints[1].inFlight; got != 0 {
 		t.Errorf("%d in flight of a peer that has been silent for %s", got, testConfig.PeerTimeout)
 	}
@@ -102,7 +102,7 @@
 func TestAnEndpointThatCannotBeReachedFromHereIsLeftToOthers(t *testing.T) {
 	m := newMachine(endpoints(2))
 	first := grant(t, m, start)
-	m.Unreachable(start, first.ID)
+	m.SendFailed(start, first.ID)
 	for i := range 3 {
 		if got := grant(t, m, start); got.ID == first.ID {
 			t.Errorf("request %d goes to the endpoint that could not be reached", 2+i)
@@ -123,10 +123,10 @@
 func TestNoEndpointIsARejectionWithATimeToComeBack(t *testing.T) {
 	list := endpoints(2)
 	for i := range list {
-		list[i].Leaving = true
+		list[i].Draining = true
 	}
 	m := newMachine(list)
-	_, r := m.Ask(start, ask(start))
+	_, r := m.Acquire(start, ask(start))
 	if r == nil || r.Reason != NoEndpoint || r.RetryAfter <= 0 {
 		t.Errorf("got %+v", r)
 	}
@@ -137,12 +137,12 @@
 func TestABurstOnOneServiceIsNotTurnedAwayOnAnEstimate(t *testing.T) {
 	m := newMachine(endpoints(6))
 	for id := EndpointID(1); id <= 6; id++ {
-		m.Report(start, 7, true, []Event{{Endpoint: id, Kind: EndedServed, Took: 300}})
+		m.HandleReport(start, 7, true, []Event{{Endpoint: id, Kind: EndedServed, LatencyMillis: 300}})
 	}
 	for i := range 44 {
 		a := ask(start)
 		a.Objective, a.Deadline = start.Add(time.Second), start.Add(time.Second)
-		if _, r := m.Ask(start, a); r != nil {
+		if _, r := m.Acquire(start, a); r != nil {
 			t.Fatalf("request %d of 44 on 24 slots is turned away: %+v", i, r)
 		}
 	}
@@ -152,12 +152,12 @@
 	m := newMachine(endpoints(1))
 	rejected := false
 	for i := range 200 {
-		_, r := m.Ask(start, ask(start))
+		_, r := m.Acquire(start, ask(start))
 		if r == nil {
 			continue
 		}
 		rejected = true
-		if r.Reason != Overloaded || r.RetryAfter <= 0 || r.Expected <= r.Left {
+		if r.Reason != Overloaded || r.RetryAfter <= 0 || r.ExpectedLatency <= r.TimeLeft {
 			t.Fatalf("request %d: %+v", i, r)
 		}
 	}
@@ -171,17 +171,17 @@
 	granted := 0
 	for i := range 200 {
 		a := ask(start)
-		a.Repeat = true
-		_, r := m.Ask(start, a)
+		a.Retry = true
+		_, r := m.Acquire(start, a)
 		switch {
 		case r == nil:
 			granted++
-		case r.Reason != BudgetSpent:
+		case r.Reason != RetryBudgetExhausted:
 			t.Fatalf("request %d is rejected for reason %d", i, r.Reason)
 		}
 	}
-	if granted == 0 || float64(granted) > testConfig.Retry.Extra {
-		t.Errorf("%d repeats without a first request, bound %g", granted, testConfig.Retry.Extra)
+	if granted == 0 || float64(granted) > testConfig.RetryBound.Extra {
+		t.Errorf("%d repeats without a first request, bound %g", granted, testConfig.RetryBound.Extra)
 	}
 }
 
@@ -189,23 +189,23 @@
 // that stay go on spending the budget; the others do not know what was spent.
 func TestAnInstanceThatHasJustStartedLeavesRepeatsToOthers(t *testing.T) {
 	repeat := ask(start)
-	repeat.Repeat = true
+	repeat.Retry = true
 	m := New(testConfig, start, rand.NewPCG(1, 2))
 	m.SetEndpoints(start, endpoints(9))
 	for range 100 {
-		if _, r := m.Ask(start, ask(start)); r != nil {
+		if _, r := m.Acquire(start, ask(start)); r != nil {
 			t.Fatalf("turned away: %+v", r)
 		}
 	}
-	if _, r := m.Ask(start, repeat); r != nil {
+	if _, r := m.Acquire(start, repeat); r != nil {
 		t.Errorf("alone it may repeat within the share of what it has seen: %+v", r)
 	}
-	m.Report(start, 7, false, nil)
-	if _, r := m.Ask(start, repeat); r != nil {
+	m.HandleReport(start, 7, false, nil)
+	if _, r := m.Acquire(start, repeat); r != nil {
 		t.Errorf("beside another that has just started: %+v", r)
 	}
-	m.Report(start, 8, true, nil)
-	if _, r := m.Ask(start, repeat); r == nil || r.Reason != BudgetSpent {
+	m.HandleReport(start, 8, true, nil)
+	if _, r := m.Acquire(start, repeat); r == nil || r.Reason != RetryBudgetExhausted {
 		t.Errorf("beside one that has counted for a window: %+v", r)
 	}
 }
@@ -214,37 +214,37 @@
 // both sides the budget is spent, and a side knows nothing of the other's.
 func TestACutShrinksTheBudgetAtOnceAndForAWindowAfter(t *testing.T) {
 	repeat := ask(start)
-	repeat.Repeat = true
+	repeat.Retry = true
 	m := newMachine(endpoints(40))
 	m.SetPeers(map[string]int{"a": 10, "b": 20})
 	hearAll := func(at time.Time) {
-		for p := range Peer(30) {
-			m.Report(at, p, true, nil)
+		for p := range PeerID(30) {
+			m.HandleReport(at, p, true, nil)
 		}
 	}
 	hearAll(start)
 	cut := start.Add(2 * time.Second)
-	m.Forget(cut)
+	m.ExpirePeers(cut)
 	granted := 0
 	for range 60 {
-		if _, r := m.Ask(cut, repeat); r == nil {
+		if _, r := m.Acquire(cut, repeat); r == nil {
 			granted++
 		}
 	}
-	if most := int(testConfig.Retry.Extra/30) + 1; granted > most {
+	if most := int(testConfig.RetryBound.Extra/30) + 1; granted > most {
 		t.Errorf("%d repeats while 30 others are silent for 2 s, its own share is %d", granted, most)
 	}
 	back := cut.Add(time.Second)
 	hearAll(back)
-	m.Forget(back)
-	if _, r := m.Ask(back, repeat); r == nil {
+	m.ExpirePeers(back)
+	if _, r := m.Acquire(back, repeat); r == nil {
 		t.Error("it repeats just after the cut, beside others that know what was spent")
 	}
-	later := cut.Add(testConfig.Retry.Window)
+	later := cut.Add(testConfig.RetryBound.Window)
 	hearAll(later)
 	repeat = ask(later)
-	repeat.Repeat = true
-	if _, r := m.Ask(later, repeat); r != nil {
+	repeat.Retry = true
+	if _, r := m.Acquire(later, repeat); r != nil {
 		t.Errorf("a window later: %+v", r)
 	}
 }
@@ -341,13 +341,13 @@
 		if id <= 3 {
 			kind, took = EndedFailed, 3
 		}
-		m.Report(start, 7, true, []Event{{Endpoint: id, Kind: kind, Took: took}, {Endpoint: id, Kind: kind, Took: took}})
+		m.HandleReport(start, 7, true, []Event{{Endpoint: id, Kind: kind, LatencyMillis: took}, {Endpoint: id, Kind: kind, LatencyMillis: took}})
 	}
 	turnedAway := 0
 	for i := range 400 {
 		a := ask(start)
 		a.Objective, a.Deadline = start.Add(time.Second), start.Add(2*time.Second)
-		g, r := m.Ask(start, a)
+		g, r := m.Acquire(start, a)
 		switch {
 		case r != nil:
 			turnedAway++
@@ -370,7 +370,7 @@
 		now = now.Add(20 * time.Millisecond)
 		a := ask(now)
 		a.Idempotent = i%2 == 0
-		g, r := m.Ask(now, a)
+		g, r := m.Acquire(now, a)
 		if r != nil {
 			t.Fatalf("request %d: %+v", i, r)
 		}
@@ -393,19 +393,19 @@
 func TestLookupsWithoutASecondTryAreNotSpentOnFailingEndpoints(t *testing.T) {
 	m := newMachine(endpoints(9))
 	for id := EndpointID(1); id <= 9; id++ {
-		ev := Event{Endpoint: id, Kind: EndedFailed, Took: 3}
+		ev := Event{Endpoint: id, Kind: EndedFailed, LatencyMillis: 3}
 		if id <= 3 {
-			ev = Event{Endpoint: id, Kind: EndedServed, Took: 300}
+			ev = Event{Endpoint: id, Kind: EndedServed, LatencyMillis: 300}
 		}
-		m.Report(start, 7, true, []Event{ev, ev})
+		m.HandleReport(start, 7, true, []Event{ev, ev})
 	}
-	for range int(2 * testConfig.Retry.Extra) {
-		m.Report(start, 7, true, []Event{{Endpoint: 9, Kind: Repeated}})
+	for range int(2 * testConfig.RetryBound.Extra) {
+		m.HandleReport(start, 7, true, []Event{{Endpoint: 9, Kind: Retried}})
 	}
 	for i := range 60 {
 		a := ask(start)
 		a.Idempotent = true
-		if g, r := m.Ask(start, a); r != nil || g.Chance < 0.5 {
+		if g, r := m.Acquire(start, a); r != nil || g.Chance < 0.5 {
 			t.Fatalf("lookup %d of 60 on 12 sound slots: %+v, %+v", i, g, r)
 		}
 	}
@@ -425,7 +425,7 @@
 	}
 	for id := EndpointID(1); id <= 2; id++ {
 		for range 3 {
-			m.Report(start, 7, true, []Event{{Endpoint: id, Kind: EndedServed, Took: 300}})
+			m.HandleReport(start, 7, true, []Event{{Endpoint: id, Kind: EndedServed, LatencyMillis: 300}})
 		}
 	}
 	usual := grant(t, m, start)
@@ -434,8 +434,8 @@
 		t.Error("a request that is served as usual cannot wait")
 	}
 	repeat := ask(start)
-	repeat.Repeat = true
-	if _, r := m.Ask(start, repeat); r != nil || !urgent() {
+	repeat.Retry = true
+	if _, r := m.Acquire(start, repeat); r != nil || !urgent() {
 		t.Errorf("a repeat can wait, or is turned away: %+v", r)
 	}
 }
@@ -443,7 +443,7 @@
 // Whatever comes, no request goes where it must not, and what is in flight adds up.
 func TestGrantsAndCountsHoldWhateverComes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(testConfig, start.Add(-testConfig.Retry.Window), rand.NewPCG(3, 4))
+		m := New(testConfig, start.Add(-testConfig.RetryBound.Window), rand.NewPCG(3, 4))
 		list := endpoints(rapid.IntRange(0, 8).Draw(t, "endpoints"))
 		now := start
 		m.SetEndpoints(now, list)
@@ -453,18 +453,18 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				a := ask(now)
-				a.Repeat, a.Idempotent, a.Hedge = rapid.Bool().Draw(t, "repeat"), rapid.Bool().Draw(t, "idempotent"), rapid.Bool().Draw(t, "hedge")
+				a.Retry, a.Idempotent, a.Hedge = rapid.Bool().Draw(t, "repeat"), rapid.Bool().Draw(t, "idempotent"), rapid.Bool().Draw(t, "hedge")
 				for _, e := range list {
 					if rapid.IntRange(0, 5).Draw(t, "tried") == 0 {
 						a.Tried = append(a.Tried, e.ID)
 					}
 				}
-				g, r := m.Ask(now, a)
+				g, r := m.Acquire(now, a)
 				if r != nil {
 					continue
 				}
 				open = append(open, g.Endpoint.ID)
-				if slices.Contains(a.Tried, g.Endpoint.ID) || g.Endpoint.Leaving {
+				if slices.Contains(a.Tried, g.Endpoint.ID) || g.Endpoint.Draining {
 					t.Fatalf("a request that tried %v goes to %+v", a.Tried, g.Endpoint)
 				}
 			case 2:
@@ -474,22 +474,22 @@
 				}
 			case 3:
 				if len(open) > 0 {
-					m.Unreachable(now, open[0])
+					m.SendFailed(now, open[0])
 					open = open[1:]
 				}
 			case 4:
-				m.Report(now, Peer(rapid.Uint64Range(1, 4).Draw(t, "peer")), rapid.Bool().Draw(t, "seasoned"), []Event{{
-					Endpoint: EndpointID(rapid.Uint32Range(0, 9).Draw(t, "endpoint")),
-					InFlight: rapid.IntRange(-1, 9).Draw(t, "in flight"),
-					Kind:     EventKind(rapid.IntRange(0, 9).Draw(t, "kind")),
-					Took:     rapid.IntRange(0, 9000).Draw(t, "took"),
+				m.HandleReport(now, PeerID(rapid.Uint64Range(1, 4).Draw(t, "peer")), rapid.Bool().Draw(t, "seasoned"), []Event{{
+					Endpoint:      EndpointID(rapid.Uint32Range(0, 9).Draw(t, "endpoint")),
+					InFlight:      rapid.IntRange(-1, 9).Draw(t, "in flight"),
+					Kind:          EventKind(rapid.IntRange(0, 9).Draw(t, "kind")),
+					LatencyMillis: rapid.IntRange(0, 9000).Draw(t, "took"),
 				}})
 			case 5:
 				for i := range list {
-					list[i].Leaving = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
+					list[i].Draining = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
 				}
 				m.SetEndpoints(now, list)
-				m.Forget(now)
+				m.ExpirePeers(now)
 			}
 		}
 		for _, e := range m.endpoints {
@@ -515,10 +515,10 @@
 	lookup.Idempotent = true
 	var served []Event
 	for id := own; id <= 3; id++ {
-		served = append(served, Event{Endpoint: id, Kind: Started, InFlight: 1}, Event{Endpoint: id, Kind: EndedServed, Took: 300})
+		served = append(served, Event{Endpoint: id, Kind: Started, InFlight: 1}, Event{Endpoint: id, Kind: EndedServed, LatencyMillis: 300})
 	}
 	for name, tc := range map[string]struct {
-		ask    Ask
+		ask    Request
 		answer int // Bytes of the answers seen; 0 for none.
 		large  bool
 		events []Event // Besides a success of each endpoint.
@@ -537,15 +537,15 @@
 		t.Run(name, func(t *testing.T) {
 			m := newMachine(endpoints(3))
 			m.SetPeers(map[string]int{"a": 5, "b": 5, "c": 5})
-			m.Report(start, 7, true, served)
-			m.Report(start, 7, true, tc.events)
+			m.HandleReport(start, 7, true, served)
+			m.HandleReport(start, 7, true, tc.events)
 			if tc.answer > 0 {
 				for range 3 {
-					m.Answered("class", tc.answer)
+					m.RecordResponseSize("class", tc.answer)
 				}
 			}
-			tc.ask.Crossing = m.CrossingCost("class", tc.large)
-			g, rejection := m.Ask(start, tc.ask)
+			tc.ask.CrossZoneCost = m.CrossZoneCost("class", tc.large)
+			g, rejection := m.Acquire(start, tc.ask)
 			if rejection != nil {
 				t.Fatalf("turned away: %+v", rejection)
 			}
@@ -564,12 +564,12 @@
 		m := newMachine(endpoints(3))
 		m.SetPeers(peers)
 		at := start.Add(testEvery)
-		m.Report(at, 7, true, []Event{{Endpoint: 1, Kind: EndedServed, Took: 300}, {Endpoint: 1, Kind: Started, InFlight: 1}})
-		m.Report(at, 7, true, []Event{{Endpoint: 2, Kind: EndedServed, Took: 300}, {Endpoint: 2, Kind: Started, InFlight: 1}})
-		m.Report(start, 7, true, []Event{{Endpoint: 3, Kind: EndedServed, Took: 300}, {Endpoint: 3, Kind: Started}})
+		m.HandleReport(at, 7, true, []Event{{Endpoint: 1, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 1, Kind: Started, InFlight: 1}})
+		m.HandleReport(at, 7, true, []Event{{Endpoint: 2, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 2, Kind: Started, InFlight: 1}})
+		m.HandleReport(start, 7, true, []Event{{Endpoint: 3, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 3, Kind: Started}})
 		a := ask(at)
 		a.Idempotent = true
-		g, rejection := m.Ask(at, a)
+		g, rejection := m.Acquire(at, a)
 		if rejection != nil {
 			t.Fatalf("%s: turned away: %+v", name, rejection)
 		}
@@ -604,11 +604,11 @@
 			if int(id) <= tc.used {
 				at = now
 			}
-			m.Report(at, 7, true, []Event{{Endpoint: id, Kind: Started, InFlight: 1}, {Endpoint: id, Kind: EndedServed, Took: 300}})
+			m.HandleReport(at, 7, true, []Event{{Endpoint: id, Kind: Started, InFlight: 1}, {Endpoint: id, Kind: EndedServed, LatencyMillis: 300}})
 		}
 		a := ask(now)
 		a.Idempotent = tc.idempotent
-		g, rejection := m.Ask(now, a)
+		g, rejection := m.Acquire(now, a)
 		if rejection != nil {
 			t.Fatalf("%s: turned away: %+v", name, rejection)
 		}
--- a/coord/dispatch/selection.go
+++ b/coord/dispatch/selection.go
@@ -68,7 +68,7 @@
 }
 
 // choose returns the best endpoint for a request; ok is false where none takes work.
-func (m *Machine) choose(now time.Time, s *service, a *Ask) (best choice, ok bool) {
+func (m *Machine) choose(now time.Time, s *service, a *Request) (best choice, ok bool) {
 	spreads := s.spreads(now)
 	// A lookup covers whatever is in use, so that the share is counted for it only where it decides.
 	few := (spreads || !a.Idempotent) && s.inUse(now) < m.cfg.FloorShare+spreadMargin
@@ -130,7 +130,7 @@
 func (s *service) inUse(now time.Time) float64 {
 	used, all := 0, 0
 	for _, e := range s.endpoints {
-		if e.Leaving || now.Sub(e.failed) <= spreadRest {
+		if e.Draining || now.Sub(e.failed) <= spreadRest {
 			continue
 		}
 		all++
@@ -142,16 +142,16 @@
 }
 
 // usable tells whether a request may go to an endpoint at all.
-func (m *Machine) usable(now time.Time, e *tracked, a *Ask) bool {
-	return !e.Leaving && !now.Before(e.reach.until) && !slices.Contains(a.Tried, e.ID)
+func (m *Machine) usable(now time.Time, e *tracked, a *Request) bool {
+	return !e.Draining && !now.Before(e.reach.until) && !slices.Contains(a.Tried, e.ID)
 }
 
 // weigh returns what an endpoint is worth to a request. Costs and preferences are parts of
 // the expected credit: however crowded, a sound endpoint goes before one that fails.
-func (m *Machine) weigh(now time.Time, s *service, e *tracked, a *Ask) choice {
-	c := choice{endpoint: e, chance: e.estimate.At(m.cfg.Rates, now)}
+func (m *Machine) weigh(now time.Time, s *service, e *tracked, a *Request) choice {
+	c := choice{endpoint: e, chance: e.estimate.At(m.cfg.HealthModel, now)}
 	work := e.took.or(s.usual())
-	if now.Before(e.WarmUntil) {
+	if now.Before(e.WarmUpEnd) {
 		work *= coldFactor
 	}
 	wait := queueing(e, work)
@@ -161,8 +161,8 @@
 		preference -= unprovenCost * float64(e.inFlight)
 	}
 	c.worth = m.servedChance(c.chance, a) * credit(a, now, c.finish) * max(preference, leastPreference)
-	c.worth -= a.Crossing * m.crosses(e, c.chance, a)
-	if e.used.IsZero() && now.After(e.WarmUntil) && now.Sub(e.joined) > time.Second {
+	c.worth -= a.CrossZoneCost * m.crosses(e, c.chance, a)
+	if e.used.IsZero() && now.After(e.WarmUpEnd) && now.Sub(e.joined) > time.Second {
 		c.worth += unusedBonus
 	}
 	c.worth += jitter * rand.New(m.random).Float64()
@@ -171,7 +171,7 @@
 
 // servedChance returns the chance that a request is served in the end: an idempotent one
 // whose first try fails, mostly at once, is sent elsewhere.
-func (m *Machine) servedChance(chance float64, a *Ask) float64 {
+func (m *Machine) servedChance(chance float64, a *Request) float64 {
 	if !a.repeatable {
 		return chance
 	}
@@ -180,7 +180,7 @@
 
 // crosses returns the chance that a request's answer comes from another zone: of an endpoint
 // there, or of a second try, which may go anywhere.
-func (m *Machine) crosses(e *tracked, chance float64, a *Ask) float64 {
+func (m *Machine) crosses(e *tracked, chance float64, a *Request) float64 {
 	if e.Zone != m.cfg.Zone {
 		return chance
 	}
@@ -200,7 +200,7 @@
 }
 
 // credit returns the part of a request's credit that an answer after about finish earns.
-func credit(a *Ask, now time.Time, finish time.Duration) float64 {
+func credit(a *Request, now time.Time, finish time.Duration) float64 {
 	onTime := likelyBy(a.Objective.Sub(now), finish)
 	served := likelyBy(a.Deadline.Sub(now), finish)
 	return lateCredit*served + (1-lateCredit)*min(onTime, served)
--- a/coord/dispatch/size.go
+++ b/coord/dispatch/size.go
@@ -17,8 +17,8 @@
 	usualAnswerKB = 1.5
 )
 
-// Answered takes in the size of an answer's body to a request of a class.
-func (m *Machine) Answered(class string, bytes int) {
+// RecordResponseSize takes in the size of an answer's body to a request of a class.
+func (m *Machine) RecordResponseSize(class string, bytes int) {
 	s := m.sizes[class]
 	if s == nil {
 		s = &average[float64]{}
@@ -27,9 +27,9 @@
 	s.add(float64(bytes) / 1024)
 }
 
-// CrossingCost returns the part of a request's credit that its answer costs if it comes from
+// CrossZoneCost returns the part of a request's credit that its answer costs if it comes from
 // another zone. large tells that answers of the class are large.
-func (m *Machine) CrossingCost(class string, large bool) float64 {
+func (m *Machine) CrossZoneCost(class string, large bool) float64 {
 	kilobytes := usualAnswerKB
 	if large {
 		kilobytes = largeAnswerKB
--- a/coord/following/following.go
+++ b/coord/following/following.go
@@ -12,9 +12,9 @@
 
 import "time"
 
-// Followers is the number of instances of a zone that follow the store: two, so that the
+// FollowersPerZone is the number of instances of a zone that follow the store: two, so that the
 // changes reach the others while one of them hangs unnoticed.
-const Followers = 2
+const FollowersPerZone = 2
 
 // turnTime is how long each instance that comes before another in line may take to follow
 // and to say so: a call of the store and a message, many times over.
@@ -38,13 +38,13 @@
 	return &Machine{self: self}
 }
 
-// Rename changes the instance's place in the order.
-func (m *Machine) Rename(self string) {
+// SetKey changes the instance's place in the order.
+func (m *Machine) SetKey(self string) {
 	m.self = self
 }
 
-// OnDuty tells whether the instance is to follow the store itself.
-func (m *Machine) OnDuty(now time.Time, peers []Peer) bool {
+// ShouldFollow tells whether the instance is to follow the store itself.
+func (m *Machine) ShouldFollow(now time.Time, peers []Peer) bool {
 	follow, wait := 0, 0
 	for _, p := range peers {
 		switch {
@@ -56,7 +56,7 @@
 		}
 	}
 	switch {
-	case follow >= Followers:
+	case follow >= FollowersPerZone:
 		m.off, m.short = true, time.Time{}
 	case !m.off:
 	case m.short.IsZero() && wait > 0:
@@ -67,14 +67,14 @@
 	return !m.off
 }
 
-// InLine tells whether the instance would follow the store if the store refused nobody. While
+// IsPreferredFollower tells whether the instance would follow the store if the store refused nobody. While
 // it refuses everybody, those in line ask often whether it is back, and the others seldom.
-func (m *Machine) InLine(peers []Peer) bool {
+func (m *Machine) IsPreferredFollower(peers []Peer) bool {
 	before := 0
 	for _, p := range peers {
 		if p.Key < m.self {
 			before++
 		}
 	}
-	return before < Followers
+	return before < FollowersPerZone
 }
--- a/coord/following/following_test.go
+++ b/coord/following/following_test.go
@@ -35,7 +35,7 @@
 	for range 2*len(z.keys) + 2 {
 		z.now = z.now.Add(turnTime / 2)
 		for _, k := range z.keys {
-			on := !z.silent[k] && z.machines[k].OnDuty(z.now, z.peersOf(k)) && !z.refused[k]
+			on := !z.silent[k] && z.machines[k].ShouldFollow(z.now, z.peersOf(k)) && !z.refused[k]
 			if on && !z.following[k] {
 				z.turns++
 			}
@@ -81,7 +81,7 @@
 					follow++
 				}
 			}
-			if want := min(able, Followers); follow != want {
+			if want := min(able, FollowersPerZone); follow != want {
 				t.Fatalf("%d instances follow the store, want %d of %d that can: %+v", follow, want, able, z)
 			}
 		}
@@ -90,7 +90,7 @@
 
 func TestOneThatHearsNobodyFollowsItself(t *testing.T) {
 	m := New("z")
-	if !m.OnDuty(time.Unix(1000, 0), nil) || !m.InLine(nil) {
+	if !m.ShouldFollow(time.Unix(1000, 0), nil) || !m.IsPreferredFollower(nil) {
 		t.Error("an instance alone does not follow the store")
 	}
 }
@@ -111,7 +111,7 @@
 func TestTheFirstAreInLineWhoeverFollows(t *testing.T) {
 	peers := []Peer{{Key: "a"}, {Key: "b"}, {Key: "d"}}
 	for self, inLine := range map[string]bool{"0": true, "aa": true, "c": false, "e": false} {
-		if got := New(self).InLine(peers); got != inLine {
+		if got := New(self).IsPreferredFollower(peers); got != inLine {
 			t.Errorf("%q in line: %t, want %t", self, got, inLine)
 		}
 	}
--- a/coord/outlook/outlook.go
+++ b/coord/outlook/outlook.go
@@ -17,20 +17,20 @@
 	Overdue                    // No answer for many times the usual time.
 )
 
-// Rates describe how endpoints change between good and failing.
-type Rates struct {
-	GoodSpell time.Duration // Mean time that an endpoint stays good.
-	BadSpell  time.Duration // Mean time that a failing spell lasts.
+// Model describe how endpoints change between good and failing.
+type Model struct {
+	MeanHealthy time.Duration // Mean time that an endpoint stays good.
+	MeanFailing time.Duration // Mean time that a failing spell lasts.
 }
 
 // goodShare returns the long-run share of time in which an endpoint is good.
-func (r Rates) goodShare() float64 {
-	return float64(r.GoodSpell) / float64(r.GoodSpell+r.BadSpell)
+func (r Model) goodShare() float64 {
+	return float64(r.MeanHealthy) / float64(r.MeanHealthy+r.MeanFailing)
 }
 
 // relaxation returns the rate, a second, at which knowledge of the state is lost.
-func (r Rates) relaxation() float64 {
-	return 1/r.GoodSpell.Seconds() + 1/r.BadSpell.Seconds()
+func (r Model) relaxation() float64 {
+	return 1/r.MeanHealthy.Seconds() + 1/r.MeanFailing.Seconds()
 }
 
 // likelihoods are the chances of an outcome while the endpoint is good and while it fails.
@@ -53,12 +53,12 @@
 }
 
 // New returns the estimate of an endpoint of which nothing is known.
-func New(r Rates, now time.Time) Estimate {
+func New(r Model, now time.Time) Estimate {
 	return Estimate{chance: r.goodShare(), at: now}
 }
 
 // At returns the chance at a moment that is not before the last outcome.
-func (e Estimate) At(r Rates, now time.Time) float64 {
+func (e Estimate) At(r Model, now time.Time) float64 {
 	age := now.Sub(e.at).Seconds()
 	if age <= 0 {
 		return e.chance
@@ -68,7 +68,7 @@
 }
 
 // Observe takes an outcome into account.
-func (e *Estimate) Observe(r Rates, now time.Time, o Outcome) {
+func (e *Estimate) Observe(r Model, now time.Time, o Outcome) {
 	l, ok := byOutcome[o]
 	if !ok {
 		return
--- a/coord/outlook/outlook_test.go
+++ b/coord/outlook/outlook_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var rates = Rates{GoodSpell: 21 * time.Second, BadSpell: 9 * time.Second}
+var rates = Model{MeanHealthy: 21 * time.Second, MeanFailing: 9 * time.Second}
 
 func TestOneFailureOutweighsASuccess(t *testing.T) {
 	now := time.Unix(0, 0)
@@ -60,9 +60,9 @@
 	const step = 300 * time.Millisecond
 	for range 400_000 {
 		now = now.Add(step)
-		stay := rates.GoodSpell
+		stay := rates.MeanHealthy
 		if !good {
-			stay = rates.BadSpell
+			stay = rates.MeanFailing
 		}
 		if random.Float64() > math.Exp(-step.Seconds()/stay.Seconds()) {
 			good = !good
--- a/coord/pause/pause.go
+++ b/coord/pause/pause.go
@@ -9,15 +9,15 @@
 import "time"
 
 const (
-	// Least is the shortest pause that is told of: several intervals of beats, and longer than
+	// MinPause is the shortest pause that is told of: several intervals of beats, and longer than
 	// a busy instance is late.
-	Least = 1500 * time.Millisecond
-	// Grace is how long after a pause an instance waits at most for news of what has changed.
+	MinPause = 1500 * time.Millisecond
+	// RefreshTimeout is how long after a pause an instance waits at most for news of what has changed.
 	// While there is none to be had, it goes on with what it knew.
-	Grace = time.Second
-	// Rest is how long after a pause no other is told of: on a machine so slow that its own work
+	RefreshTimeout = time.Second
+	// Cooldown is how long after a pause no other is told of: on a machine so slow that its own work
 	// looks like one, reading everything anew each time would leave time for nothing else.
-	Rest = 5 * time.Second
+	Cooldown = 5 * time.Second
 )
 
 // Detector sees pauses by beats that do not come. It is not safe for concurrent use.
@@ -32,7 +32,7 @@
 	paused := d.Paused(now)
 	d.beat = now
 	if paused {
-		d.woken, d.until = now, now.Add(Grace)
+		d.woken, d.until = now, now.Add(RefreshTimeout)
 	}
 	return paused
 }
@@ -40,23 +40,23 @@
 // Paused tells whether the process was paused since the last beat. The steady clock does not
 // count a suspension, and the time of day may be set: whichever has gone on further counts.
 func (d *Detector) Paused(now time.Time) bool {
-	rests := !d.woken.IsZero() && now.Sub(d.woken) < Rest
-	return !d.beat.IsZero() && !rests && Between(d.beat, now) >= Least
+	rests := !d.woken.IsZero() && now.Sub(d.woken) < Cooldown
+	return !d.beat.IsZero() && !rests && Elapsed(d.beat, now) >= MinPause
 }
 
-// Between returns the time from one moment to a later one, a suspension included.
-func Between(from, to time.Time) time.Duration {
+// Elapsed returns the time from one moment to a later one, a suspension included.
+func Elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
 
-// Renewed notes that all that is known was asked for at a moment.
-func (d *Detector) Renewed(asked time.Time) {
+// Refreshed notes that all that is known was asked for at a moment.
+func (d *Detector) Refreshed(asked time.Time) {
 	if !asked.Before(d.woken) {
 		d.until = time.Time{}
 	}
 }
 
-// Doubtful tells whether what is known may have run out.
-func (d *Detector) Doubtful(now time.Time) bool {
+// MayBeStale tells whether what is known may have run out.
+func (d *Detector) MayBeStale(now time.Time) bool {
 	return d.Paused(now) || now.Before(d.until)
 }
--- a/coord/pause/pause_test.go
+++ b/coord/pause/pause_test.go
@@ -14,23 +14,23 @@
 	}{
 		"first beat":                  {time.Time{}, start, false},
 		"regular":                     {start, start.Add(interval), false},
-		"late":                        {start, start.Add(Least - time.Millisecond), false},
-		"stopped":                     {start, start.Add(Least), true},
+		"late":                        {start, start.Add(MinPause - time.Millisecond), false},
+		"stopped":                     {start, start.Add(MinPause), true},
 		"suspended: time of day":      {start.Round(0), start.Round(0).Add(4 * time.Second), true},
 		"time of day set back":        {start.Round(0).Add(4 * time.Second), start.Round(0), false},
-		"set back while it is paused": {start, start.Add(Least), true},
+		"set back while it is paused": {start, start.Add(MinPause), true},
 	} {
 		var d Detector
 		if !tc.last.IsZero() {
 			d.Beat(tc.last)
 		}
-		if got := d.Doubtful(tc.now); got != tc.paused {
+		if got := d.MayBeStale(tc.now); got != tc.paused {
 			t.Errorf("%s: doubtful before the beat: %v", name, got)
 		}
 		if got := d.Beat(tc.now); got != tc.paused {
 			t.Errorf("%s: paused %v", name, got)
 		}
-		if got := d.Doubtful(tc.now); got != tc.paused {
+		if got := d.MayBeStale(tc.now); got != tc.paused {
 			t.Errorf("%s: doubtful after the beat: %v", name, got)
 		}
 	}
@@ -47,10 +47,10 @@
 	for at := time.Duration(0); at < spent; at += work {
 		if d.Beat(now.Add(at)) {
 			pauses++
-			d.Renewed(now.Add(at))
+			d.Refreshed(now.Add(at))
 		}
 	}
-	if most := int(spent / Rest); pauses == 0 || pauses > most {
+	if most := int(spent / Cooldown); pauses == 0 || pauses > most {
 		t.Errorf("%d pauses in %s, at most %d", pauses, spent, most)
 	}
 }
@@ -61,17 +61,17 @@
 	var d Detector
 	d.Beat(start)
 	d.Beat(woken)
-	if !d.Doubtful(woken.Add(Grace - time.Millisecond)) {
+	if !d.MayBeStale(woken.Add(RefreshTimeout - time.Millisecond)) {
 		t.Error("no doubt before any news")
 	}
-	if d.Beat(woken.Add(Grace)); d.Doubtful(woken.Add(Grace)) {
+	if d.Beat(woken.Add(RefreshTimeout)); d.MayBeStale(woken.Add(RefreshTimeout)) {
 		t.Error("doubt goes on after the grace")
 	}
 	d.Beat(woken.Add(8 * time.Second))
-	if d.Renewed(woken); !d.Doubtful(woken.Add(8 * time.Second)) {
+	if d.Refreshed(woken); !d.MayBeStale(woken.Add(8 * time.Second)) {
 		t.Error("doubt ends with news that was asked for before the pause")
 	}
-	if d.Renewed(woken.Add(8 * time.Second)); d.Doubtful(woken.Add(8 * time.Second)) {
+	if d.Refreshed(woken.Add(8 * time.Second)); d.MayBeStale(woken.Add(8 * time.Second)) {
 		t.Error("doubt goes on after news")
 	}
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -74,7 +74,7 @@
 		a.ending, a.err = endedNotSent, ctx.Err()
 		return
 	}
-	if pause.Between(a.started, time.Now()) >= pause.Least {
+	if pause.Elapsed(a.started, time.Now()) >= pause.MinPause {
 		stop()
 		_ = conn.Close()
 		a.ending, a.err = endedNotSent, errPaused
@@ -104,7 +104,7 @@
 // exchange sends the request on a connection and sorts out what comes back.
 func (f *Forwarder) exchange(r *request, req *fasthttp.Request, a *attempt, conn *httpconn.Conn) {
 	prepare(&req.Header)
-	platform.SetSend(&req.Header, time.Until(r.deadline), a.grant.Endpoint.Name)
+	platform.SetUpstreamHeaders(&req.Header, time.Until(r.deadline), a.grant.Endpoint.Name)
 	sent, err := conn.Send(req, r.deadline)
 	if !sent {
 		a.ending, a.err = endedNotSent, err
@@ -113,7 +113,7 @@
 	// An endpoint may refuse a long request before it has read it all: its answer counts.
 	a.resp = fasthttp.AcquireResponse()
 	a.resp.SkipBody = req.Header.IsHead()
-	var answer platform.Answer
+	var answer platform.ResponseInfo
 	var rest *httpconn.Body
 	for strays := 0; ; strays++ {
 		var recvErr error
@@ -124,7 +124,7 @@
 			}
 			return
 		}
-		answer = platform.ReadAnswer(&a.resp.Header)
+		answer = platform.ReadResponseInfo(&a.resp.Header)
 		if answer.RequestID == r.ID || answer.RequestID == "" && !a.reused && strays == 0 {
 			break
 		}
@@ -161,11 +161,11 @@
 )
 
 // classify tells what an answer that came whole means.
-func classify(status int, answer platform.Answer) (ending, error) {
+func classify(status int, answer platform.ResponseInfo) (ending, error) {
 	switch {
-	case answer.NotRun:
+	case answer.NotExecuted:
 		return endedNotRun, nil
-	case !answer.Stamped:
+	case !answer.Signed:
 		return endedBroken, errUnsigned
 	case answer.Encoded:
 		return endedBroken, errEncoded
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -16,7 +16,7 @@
 // Dispatcher decides where requests go.
 type Dispatcher interface {
 	// Acquire gives a request an endpoint. The error is a *Rejected where it is turned away.
-	Acquire(a dispatch.Ask) (dispatch.Grant, error)
+	Acquire(a dispatch.Request) (dispatch.Grant, error)
 	// Ended tells how a granted request ended.
 	Ended(g dispatch.Grant, kind dispatch.EventKind, took time.Duration)
 	// Unreachable tells that a granted request could not be sent.
@@ -175,16 +175,16 @@
 	if err := ctx.Err(); err != nil {
 		return dispatch.Grant{}, err
 	}
-	return f.dispatcher.Acquire(dispatch.Ask{
-		Service:    r.Service,
-		Class:      r.Route.Name,
-		Large:      r.Route.Large,
-		Idempotent: r.Route.Idempotent,
-		Repeat:     r.sent > 0,
-		Hedge:      r.open > 0,
-		Objective:  r.Arrived.Add(r.Route.Objective),
-		Deadline:   r.deadline,
-		Tried:      r.tried,
+	return f.dispatcher.Acquire(dispatch.Request{
+		Service:       r.Service,
+		SizeClass:     r.Route.Name,
+		LargeResponse: r.Route.LargeResponses,
+		Idempotent:    r.Route.Idempotent,
+		Retry:         r.sent > 0,
+		Hedge:         r.open > 0,
+		Objective:     r.Arrived.Add(r.Route.Objective),
+		Deadline:      r.deadline,
+		Tried:         r.tried,
 	})
 }
 
@@ -208,7 +208,7 @@
 // attempt sends a copy of the request to the granted endpoint.
 func (f *Forwarder) attempt(ctx context.Context, r *request, req *fasthttp.Request, grant dispatch.Grant) *attempt {
 	a := &attempt{grant: grant, started: time.Now()}
-	overdue := time.AfterFunc(grant.Usual*overdueFactor, func() { f.dispatcher.RunsLong(grant) })
+	overdue := time.AfterFunc(grant.BaselineLatency*overdueFactor, func() { f.dispatcher.RunsLong(grant) })
 	f.send(f.sendContext(ctx, r), r, req, a)
 	overdue.Stop()
 	a.took = time.Since(a.started)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -101,13 +101,13 @@
 	return d
 }
 
-func (d *inTurn) Acquire(a dispatch.Ask) (dispatch.Grant, error) {
+func (d *inTurn) Acquire(a dispatch.Request) (dispatch.Grant, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.list {
 		if !slices.Contains(a.Tried, e.ID) {
 			d.open++
-			return dispatch.Grant{Endpoint: e, Usual: 20 * time.Millisecond}, nil
+			return dispatch.Grant{Endpoint: e, BaselineLatency: 20 * time.Millisecond}, nil
 		}
 	}
 	return dispatch.Grant{}, &Rejected{dispatch.Rejection{Reason: dispatch.NoEndpoint, RetryAfter: time.Second}}
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -36,7 +36,7 @@
 	}
 	resp.SetStatusCode(entry.Status)
 	resp.Header.SetContentType("application/json")
-	platform.NoteRefusal(&resp.Header, requestID, retryAfter)
+	platform.SetRejectionHeaders(&resp.Header, requestID, retryAfter)
 	body, err := json.Marshal(refusalBody{Code: code, Name: entry.Name, Detail: detail})
 	if err != nil {
 		body = []byte("{}") // Strings and a number always encode.
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -62,8 +62,8 @@
 // hedgeDelay returns how long an attempt may take before another is made beside it: so
 // that the other can still meet the objective, where that leaves the first a fair time.
 func hedgeDelay(r *request, grant dispatch.Grant) time.Duration {
-	usual := float64(grant.Usual)
-	untilObjective := float64(time.Until(r.Arrived.Add(r.Route.Objective)) - grant.Usual)
+	usual := float64(grant.BaselineLatency)
+	untilObjective := float64(time.Until(r.Arrived.Add(r.Route.Objective)) - grant.BaselineLatency)
 	return time.Duration(max(min(hedgeFactor*usual, untilObjective), hedgeFloor*usual))
 }
 
@@ -136,7 +136,7 @@
 	case errors.As(cause, &rejected) && rejected.Reason == dispatch.NoEndpoint:
 		return &refusal{code: result.CodeNoEndpoint, retryAfter: rejected.RetryAfter}
 	case errors.As(cause, &rejected) && rejected.Reason == dispatch.Overloaded:
-		detail := fmt.Sprintf("an answer is expected in %s, %s are left", rejected.Expected, rejected.Left)
+		detail := fmt.Sprintf("an answer is expected in %s, %s are left", rejected.ExpectedLatency, rejected.TimeLeft)
 		return &refusal{code: result.CodeShedQueueFull, detail: detail, retryAfter: rejected.RetryAfter}
 	case len(r.attempts) > 0:
 		return &refusal{code: result.CodeUpstreamRefused, retryAfter: refusedRetryAfter}
--- a/internal/gateway/broker_test.go
+++ b/internal/gateway/broker_test.go
@@ -183,17 +183,17 @@
 	now := time.Now()
 	for name, tc := range map[string]struct {
 		service string
-		to      func(c *control) dispatch.Peer
+		to      func(c *control) dispatch.PeerID
 		answers bool // The question gets an endpoint by this reply.
 	}{
-		"its own":         {"orders", func(c *control) dispatch.Peer { return c.peer }, true},
-		"a former life's": {"orders", func(c *control) dispatch.Peer { return c.peer + 1 }, false},
-		"another service": {"others", func(c *control) dispatch.Peer { return c.peer }, false},
+		"its own":         {"orders", func(c *control) dispatch.PeerID { return c.peer }, true},
+		"a former life's": {"orders", func(c *control) dispatch.PeerID { return c.peer + 1 }, false},
+		"another service": {"others", func(c *control) dispatch.PeerID { return c.peer }, false},
 	} {
 		answer := make(chan acquired, 1)
 		granted := inControl(in, func(c *control) int {
 			c.placing.seq++
-			ask := dispatch.Ask{Service: tc.service, Objective: now.Add(time.Second), Deadline: now.Add(time.Second)}
+			ask := dispatch.Request{Service: tc.service, Objective: now.Add(time.Second), Deadline: now.Add(time.Second)}
 			c.placing.open[c.placing.seq] = &pending{ask: ask, answer: answer, timer: time.NewTimer(time.Hour)}
 			r := reply{Broker: 99, To: tc.to(c), Seq: c.placing.seq, Endpoint: endpointID("i-1")}
 			c.hearReply(now, r)
@@ -214,9 +214,9 @@
 
 func TestQuestionsSurviveTheWire(t *testing.T) {
 	now := time.Unix(1000, 0)
-	a := dispatch.Ask{
+	a := dispatch.Request{
 		Service: "orders", Idempotent: true, Hedge: true, Objective: now.Add(-time.Second), Deadline: now.Add(2 * time.Second),
-		Tried: []dispatch.EndpointID{1, 1 << 31}, Crossing: 0.125,
+		Tried: []dispatch.EndpointID{1, 1 << 31}, CrossZoneCost: 0.125,
 	}
 	data, err := encodeKind(brokerQuestion, questionOf(7, 9, now, a))
 	if err != nil {
--- a/internal/gateway/brokerwire.go
+++ b/internal/gateway/brokerwire.go
@@ -15,10 +15,10 @@
 // a thousand.
 type question struct {
 	_         struct{} `cbor:",toarray"`
-	From      dispatch.Peer
+	From      dispatch.PeerID
 	Seq       uint64 // Of the asker; it names the grant.
 	Hops      uint8
-	Home      dispatch.Peer // Broker of the asker's zone, to which a question that was passed on comes back.
+	Home      dispatch.PeerID // Broker of the asker's zone, to which a question that was passed on comes back.
 	Service   string
 	Flags     uint8
 	Crossing  int
@@ -45,8 +45,8 @@
 // reply answers a question: an endpoint, or why none.
 type reply struct {
 	_          struct{} `cbor:",toarray"`
-	Broker     dispatch.Peer
-	To         dispatch.Peer // The asker's life: one that has restarted counts its questions anew.
+	Broker     dispatch.PeerID
+	To         dispatch.PeerID // The asker's life: one that has restarted counts its questions anew.
 	Seq        uint64
 	Reason     dispatch.Reason // 0 where there is an endpoint.
 	Endpoint   dispatch.EndpointID
@@ -60,7 +60,7 @@
 // ending tells a broker what became of a grant.
 type ending struct {
 	_    struct{} `cbor:",toarray"`
-	From dispatch.Peer
+	From dispatch.PeerID
 	Seq  uint64
 	Kind dispatch.EventKind
 	Took int
@@ -69,14 +69,14 @@
 // roll is what a keeper tells of who is there.
 type roll struct {
 	_         struct{} `cbor:",toarray"`
-	From      dispatch.Peer
+	From      dispatch.PeerID
 	Revision  platform.Revision
 	Following bool
 	Troubled  bool
 	Leaving   bool
-	Silent    []dispatch.Peer // Instances that are silent or leaving.
-	Followers []dispatch.Peer // Other instances of the zone that follow the store.
-	Dark      []string        // Zones of which nobody is heard.
+	Silent    []dispatch.PeerID // Instances that are silent or leaving.
+	Followers []dispatch.PeerID // Other instances of the zone that follow the store.
+	Dark      []string          // Zones of which nobody is heard.
 }
 
 const (
@@ -96,13 +96,13 @@
 }
 
 // questionOf returns the question for a request.
-func questionOf(from dispatch.Peer, seq uint64, now time.Time, a dispatch.Ask) question {
+func questionOf(from dispatch.PeerID, seq uint64, now time.Time, a dispatch.Request) question {
 	q := question{
-		From: from, Seq: seq, Service: a.Service, Crossing: toPerMille(a.Crossing),
+		From: from, Seq: seq, Service: a.Service, Crossing: toPerMille(a.CrossZoneCost),
 		Objective: int(a.Objective.Sub(now).Milliseconds()), Deadline: int(a.Deadline.Sub(now).Milliseconds()),
 		Tried: a.Tried[:min(len(a.Tried), triedMost)],
 	}
-	for flag, set := range map[uint8]bool{flagIdempotent: a.Idempotent, flagRepeat: a.Repeat, flagHedge: a.Hedge} {
+	for flag, set := range map[uint8]bool{flagIdempotent: a.Idempotent, flagRepeat: a.Retry, flagHedge: a.Hedge} {
 		if set {
 			q.Flags |= flag
 		}
@@ -111,11 +111,11 @@
 }
 
 // ask returns the request that a question is about.
-func (q *question) ask(now time.Time) dispatch.Ask {
-	return dispatch.Ask{
-		Service: q.Service, Idempotent: q.Flags&flagIdempotent != 0, Repeat: q.Flags&flagRepeat != 0, Hedge: q.Flags&flagHedge != 0,
+func (q *question) ask(now time.Time) dispatch.Request {
+	return dispatch.Request{
+		Service: q.Service, Idempotent: q.Flags&flagIdempotent != 0, Retry: q.Flags&flagRepeat != 0, Hedge: q.Flags&flagHedge != 0,
 		Objective: now.Add(time.Duration(q.Objective) * time.Millisecond), Deadline: now.Add(time.Duration(q.Deadline) * time.Millisecond),
-		Tried: q.Tried, Crossing: fromPerMille(q.Crossing),
+		Tried: q.Tried, CrossZoneCost: fromPerMille(q.Crossing),
 	}
 }
 
--- a/internal/gateway/contents.go
+++ b/internal/gateway/contents.go
@@ -131,7 +131,7 @@
 		return false
 	}
 	c.config = next
-	c.noteOnce(next.Notes)
+	c.noteOnce(next.Warnings)
 	c.log.Info("configuration in force", "version", next.Version.String(), "routes", len(next.Routes), "services", len(next.Services))
 	return true
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -37,7 +37,7 @@
 
 // spells are the mean times that upstreams stay good and go on failing, by the ages of
 // outcomes on the users' days (docs/MEASUREMENTS.md).
-var spells = outlook.Rates{GoodSpell: 21 * time.Second, BadSpell: 9 * time.Second}
+var spells = outlook.Model{MeanHealthy: 21 * time.Second, MeanFailing: 9 * time.Second}
 
 // Snapshot is what the control loop has decided, for all other goroutines. It is immutable.
 type Snapshot struct {
@@ -52,14 +52,14 @@
 // doubtful tells whether what the snapshot says may have run out: the process has stood still
 // since, or stood still before and has no news yet.
 func (s *Snapshot) doubtful(now time.Time) bool {
-	return s.pause.Doubtful(now)
+	return s.pause.MayBeStale(now)
 }
 
 // control is the control loop and the state that it owns.
 type control struct {
 	settings *Settings
 	log      *slog.Logger
-	peer     dispatch.Peer
+	peer     dispatch.PeerID
 	self     memberRecord // What this instance registers.
 	socket   *peerSocket
 	relay    *relay
@@ -118,7 +118,7 @@
 	c := &control{
 		settings: s,
 		log:      log,
-		peer:     dispatch.Peer(rand.Uint64()),
+		peer:     dispatch.PeerID(rand.Uint64()),
 		socket:   socket,
 		commands: make(chan func(), commandBacklog),
 		kick:     make(chan bool, 1),
@@ -143,8 +143,8 @@
 	s := c.settings
 	return dispatch.Config{
 		Zone:        s.Instance.Zone,
-		Rates:       spells,
-		Retry:       retrybudget.Bound{Window: s.Retry.Window, Ratio: s.Retry.Ratio, Extra: s.Retry.Extra},
+		HealthModel: spells,
+		RetryBound:  retrybudget.Bound{Window: s.Retry.Window, Ratio: s.Retry.Ratio, Extra: s.Retry.Extra},
 		FloorShare:  s.Place.FloorShare,
 		PeerTimeout: peerTimeout,
 	}
@@ -210,7 +210,7 @@
 // message returns what the others are told of this instance, with some events.
 func (c *control) message(now time.Time, events []dispatch.Event) message {
 	return message{
-		From: c.peer, Revision: c.revision, Leaving: c.leaving, Seasoned: c.machine.Seasoned(now),
+		From: c.peer, Revision: c.revision, Leaving: c.leaving, Seasoned: c.machine.HasFullRetryWindow(now),
 		Following: c.following, Troubled: c.following && c.troubled(now), Events: events,
 	}
 }
@@ -228,7 +228,7 @@
 // tick looks at what has become old.
 func (c *control) tick(now time.Time) {
 	c.look(now)
-	c.machine.Forget(now)
+	c.machine.ExpirePeers(now)
 	c.members.expire(now)
 	if c.registry.expire(now) {
 		c.applyUpstreams(now)
@@ -313,7 +313,7 @@
 		}
 	}
 	if !c.brokered() || len(m.Events) > 0 {
-		c.machine.Report(now, m.From, m.Seasoned, m.Events)
+		c.machine.HandleReport(now, m.From, m.Seasoned, m.Events)
 	}
 	if m.Troubled && !c.onDuty.Load() {
 		c.trouble = now
@@ -332,12 +332,12 @@
 }
 
 // Acquire implements forward.Dispatcher.
-func (c *control) Acquire(a dispatch.Ask) (dispatch.Grant, error) {
+func (c *control) Acquire(a dispatch.Request) (dispatch.Grant, error) {
 	reply := make(chan acquired, 1)
 	c.post(func() {
 		now := time.Now()
-		if c.pause.Doubtful(now) {
-			reply <- acquired{rejection: &dispatch.Rejection{Reason: dispatch.NoEndpoint, RetryAfter: startingRetryAfter, Left: a.Deadline.Sub(now)}}
+		if c.pause.MayBeStale(now) {
+			reply <- acquired{rejection: &dispatch.Rejection{Reason: dispatch.NoEndpoint, RetryAfter: startingRetryAfter, TimeLeft: a.Deadline.Sub(now)}}
 			return
 		}
 		c.place(now, a, reply)
@@ -365,7 +365,7 @@
 
 // Answered implements forward.Dispatcher.
 func (c *control) Answered(class string, bytes int) {
-	c.post(func() { c.machine.Answered(class, bytes) })
+	c.post(func() { c.machine.RecordResponseSize(class, bytes) })
 }
 
 // RunsLong implements forward.Dispatcher.
--- a/internal/gateway/desk.go
+++ b/internal/gateway/desk.go
@@ -25,7 +25,7 @@
 // granted there. It is owned by the control loop.
 type desk struct {
 	machine *dispatch.Machine
-	ledger  *broker.Ledger
+	ledger  *broker.GrantTable
 	zones   []string // With instances; endpoints of other zones are shared out over them.
 }
 
@@ -33,9 +33,9 @@
 // out over the zones.
 func (c *control) newDesk(now time.Time) *desk {
 	cfg := c.dispatchConfig()
-	cfg.Alone = true
-	cfg.Retry.Extra /= float64(len(c.zones()))
-	return &desk{machine: dispatch.New(cfg, now, rand.NewPCG(rand.Uint64(), rand.Uint64())), ledger: broker.NewLedger()}
+	cfg.NoReports = true
+	cfg.RetryBound.Extra /= float64(len(c.zones()))
+	return &desk{machine: dispatch.New(cfg, now, rand.NewPCG(rand.Uint64(), rand.Uint64())), ledger: broker.NewGrantTable()}
 }
 
 // zones returns the availability zones that have instances, in order.
@@ -68,7 +68,7 @@
 	own := c.settings.Instance.Zone
 	var list []dispatch.Endpoint
 	for _, e := range c.registry.endpoints(c.config) {
-		if broker.ZoneOf(e.Zone, c.desk.zones) == own {
+		if broker.BrokerZone(e.Zone, c.desk.zones) == own {
 			list = append(list, e)
 		}
 	}
@@ -78,40 +78,40 @@
 // answer places another instance's request, or this one's own.
 func (c *control) answer(now time.Time, q question) {
 	d := c.openDesk(now)
-	ticket := broker.Ticket{Asker: uint64(q.From), Seq: q.Seq}
-	if _, twice := d.ledger.Holds(ticket); twice {
+	ticket := broker.GrantID{Requester: uint64(q.From), Seq: q.Seq}
+	if _, twice := d.ledger.Lookup(ticket); twice {
 		return
 	}
 	a := q.ask(now)
 	switch {
 	case q.Hops == hopHome && !a.Hedge && len(d.zones) > 1:
-		a.Least = goodWorth
+		a.MinScore = goodWorth
 	case q.Hops == hopAway:
-		a.Least = fromPerMille(q.Best) + betterBy
+		a.MinScore = fromPerMille(q.Best) + betterBy
 	}
-	grant, rejection := d.machine.Ask(now, a)
+	grant, rejection := d.machine.Acquire(now, a)
 	if rejection != nil {
 		c.decline(now, q, rejection)
 		return
 	}
-	d.ledger.Granted(ticket, grant.Endpoint.ID, a.Deadline.Add(endingMargin))
+	d.ledger.Add(ticket, grant.Endpoint.ID, a.Deadline.Add(endingMargin))
 	c.sendReply(now, reply{
-		Broker: c.peer, To: q.From, Seq: q.Seq, Endpoint: grant.Endpoint.ID, Chance: toPerMille(grant.Chance), InFlight: grant.InFlight, Usual: int(grant.Usual.Milliseconds()),
+		Broker: c.peer, To: q.From, Seq: q.Seq, Endpoint: grant.Endpoint.ID, Chance: toPerMille(grant.Chance), InFlight: grant.InFlight, Usual: int(grant.BaselineLatency.Milliseconds()),
 	})
 }
 
 // decline passes a question on that has no good endpoint here, or answers why it gets none.
 func (c *control) decline(now time.Time, q question, r *dispatch.Rejection) {
-	elsewhere := r.Reason == dispatch.Poor || r.Reason == dispatch.NoEndpoint || r.Reason == dispatch.Overloaded
+	elsewhere := r.Reason == dispatch.ScoreTooLow || r.Reason == dispatch.NoEndpoint || r.Reason == dispatch.Overloaded
 	switch {
 	case q.Hops == hopHome && elsewhere && q.Flags&flagHedge == 0:
-		q.Home, q.Best = c.peer, toPerMille(max(r.Best, 0))
+		q.Home, q.Best = c.peer, toPerMille(max(r.BestScore, 0))
 		if away, ok := c.awayBroker(now, q.Service); ok {
 			q.Hops = hopAway
-			c.ask(now, away.Life, q)
+			c.ask(now, away.Incarnation, q)
 			return
 		}
-		if r.Reason == dispatch.Poor {
+		if r.Reason == dispatch.ScoreTooLow {
 			q.Hops = hopAgain
 			c.answer(now, q)
 			return
@@ -122,11 +122,11 @@
 		return
 	}
 	reason := r.Reason
-	if reason == dispatch.Poor {
+	if reason == dispatch.ScoreTooLow {
 		reason = dispatch.Overloaded
 	}
 	c.sendReply(now, reply{
-		Broker: c.peer, To: q.From, Seq: q.Seq, Reason: reason, RetryAfter: int(max(r.RetryAfter, forwardedRetryAfter).Milliseconds()), Expected: int(r.Expected.Milliseconds()),
+		Broker: c.peer, To: q.From, Seq: q.Seq, Reason: reason, RetryAfter: int(max(r.RetryAfter, forwardedRetryAfter).Milliseconds()), Expected: int(r.ExpectedLatency.Milliseconds()),
 	})
 }
 
@@ -161,18 +161,18 @@
 	if c.desk == nil {
 		return
 	}
-	ticket := broker.Ticket{Asker: uint64(e.From), Seq: e.Seq}
-	if e.Kind == dispatch.RunsLong {
-		if id, ok := c.desk.ledger.Holds(ticket); ok {
-			c.desk.machine.RunsLong(now, id)
+	ticket := broker.GrantID{Requester: uint64(e.From), Seq: e.Seq}
+	if e.Kind == dispatch.Overdue {
+		if id, ok := c.desk.ledger.Lookup(ticket); ok {
+			c.desk.machine.Overdue(now, id)
 		}
 		return
 	}
-	id, ok := c.desk.ledger.Ended(ticket)
+	id, ok := c.desk.ledger.Remove(ticket)
 	switch {
 	case !ok:
 	case e.Kind == unreached:
-		c.desk.machine.Unreached(now, id)
+		c.desk.machine.RemoteSendFailed(now, id)
 	default:
 		c.desk.machine.Ended(now, id, e.Kind, time.Duration(e.Took)*time.Millisecond)
 	}
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -22,7 +22,7 @@
 // zone that do not. Whoever knows the store up to After knows it up to At with them.
 type feed struct {
 	_     struct{} `cbor:",toarray"`
-	From  dispatch.Peer
+	From  dispatch.PeerID
 	After platform.Revision
 	At    platform.Revision
 	Items []feedItem
@@ -38,7 +38,7 @@
 }
 
 // newFeed returns the changes of a watch in the order of their revisions.
-func newFeed(from dispatch.Peer, items []platform.Item, after, at platform.Revision) feed {
+func newFeed(from dispatch.PeerID, items []platform.Item, after, at platform.Revision) feed {
 	f := feed{From: from, After: after, At: max(at, after)}
 	for _, item := range items {
 		f.Items = append(f.Items, feedItem{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted})
@@ -145,8 +145,8 @@
 // assign decides whether this instance follows the store itself.
 func (c *control) assign(now time.Time) {
 	peers := c.members.zonePeers(now)
-	c.inLine.Store(c.duty.InLine(peers))
-	if on := c.duty.OnDuty(now, peers); on != c.onDuty.Load() {
+	c.inLine.Store(c.duty.IsPreferredFollower(peers))
+	if on := c.duty.ShouldFollow(now, peers); on != c.onDuty.Load() {
 		c.onDuty.Store(on)
 		c.log.Info("follows the store", "itself", on, "peers_in_zone", len(peers))
 		if !on {
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -353,12 +353,12 @@
 	for _, in := range instances {
 		eventually(t, "the upstream is known", func() bool { return in.knows("i-1") })
 	}
-	w.store.SetFault(standin.Busy)
+	w.store.SetFault(standin.Unavailable)
 	for _, in := range instances {
 		eventually(t, "the loss is noticed", func() bool { return strings.Contains(in.logs.String(), `"msg":"store lost"`) })
 	}
 	w.store.Delete("servers/i-1")
-	w.store.SetFault(standin.Sound)
+	w.store.SetFault(standin.NoFault)
 	for _, in := range instances {
 		eventually(t, "the lapse is known", func() bool { return strings.Contains(in.logs.String(), "registration lapsed with the store") })
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -103,7 +103,7 @@
 		switch {
 		case errors.Is(err, errTurned), errors.Is(err, errKicked):
 			continue
-		case errors.Is(err, platform.ErrHistoryLost):
+		case errors.Is(err, platform.ErrCompacted):
 			f.log.Warn("history of the store lost", "after", uint64(at))
 			continue
 		}
@@ -136,7 +136,7 @@
 		return 0, err
 	}
 	f.control.post(func() {
-		f.control.pause.Renewed(asked)
+		f.control.pause.Refreshed(asked)
 		f.control.replace(time.Now(), items, at)
 	})
 	return at, nil
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -383,8 +383,8 @@
 	eventually(t, "the second is in force", func() bool { _, body, _ := in.ask(t, "h.example", "/x"); return body == "i-2" })
 	w.configureVersion(7, "h.example", "orders")
 	w.store.Put("op/config", []byte("{"))
-	w.store.ForgetHistory()
-	w.store.SetFault(standin.Sound) // Cuts the watch.
+	w.store.Compact()
+	w.store.SetFault(standin.NoFault) // Cuts the watch.
 	eventually(t, "everything is read anew", func() bool { return w.store.Calls("range") >= 2 })
 	for range 20 {
 		if _, body, id := in.ask(t, "h.example", "/x"); body != "i-2" {
@@ -415,7 +415,7 @@
 }
 
 func TestTrafficGoesOnWhileTheStoreIsAway(t *testing.T) {
-	for name, fault := range map[string]standin.Fault{"busy": standin.Busy, "silent": standin.Silent} {
+	for name, fault := range map[string]standin.Fault{"busy": standin.Unavailable, "silent": standin.Unresponsive} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t)
 			in := w.startInstance("one", "a")
@@ -429,7 +429,7 @@
 			if status, _, _ := in.ask(t, "h.example", "/x"); status != 200 {
 				t.Errorf("while the store is away: status %d", status)
 			}
-			w.store.SetFault(standin.Sound)
+			w.store.SetFault(standin.NoFault)
 			eventually(t, "the return is in the log", func() bool { return strings.Contains(in.logs.String(), `"msg":"store regained"`) })
 			if status, _, _ := in.ask(t, "h.example", "/x"); status != 200 {
 				t.Errorf("just after the store's return: status %d", status)
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -60,12 +60,12 @@
 		h.refuse(r, id, resp, result.CodeNoRoute, "host "+host+", version "+s.Version.String(), 0)
 		return
 	}
-	if len(route.Parts) == 0 {
+	if len(route.Split) == 0 {
 		h.refuse(r, id, resp, result.CodeNoEndpoint, "route "+route.Name+" is not understood", unknownRetryAfter)
 		return
 	}
 	in := forward.Request{
-		ID: id, Route: route, Service: pick(route.Parts), HTTP: r.HTTP, Arrived: r.Arrived,
+		ID: id, Route: route, Service: pick(route.Split), HTTP: r.HTTP, Arrived: r.Arrived,
 		Deadline: r.Arrived.Add(route.Timeout),
 	}
 	if left, ok := platform.TimeLeft(&r.HTTP.Header); ok && left < route.Timeout {
--- a/internal/gateway/history.go
+++ b/internal/gateway/history.go
@@ -49,14 +49,14 @@
 // missed asks a follower of the store for what this instance was not told.
 type missed struct {
 	_     struct{} `cbor:",toarray"`
-	From  dispatch.Peer
+	From  dispatch.PeerID
 	After platform.Revision
 }
 
 // askMissed asks a follower of this zone for what it has told since this instance's revision,
 // and returns false where there is none to ask.
 func (c *control) askMissed() bool {
-	var followers []dispatch.Peer
+	var followers []dispatch.PeerID
 	for _, e := range c.members.list {
 		if e.Zone == c.members.zone && e.follows && !e.leaving {
 			followers = append(followers, e.Peer)
--- a/internal/gateway/incident_test.go
+++ b/internal/gateway/incident_test.go
@@ -21,9 +21,9 @@
 	old, next := w.startUpstream("i-old", "orders"), w.startUpstream("i-next", "others")
 	eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
 	watches := w.store.Calls("watch")
-	w.store.SetFault(standin.Deaf) // It cuts the watch; the next hears nothing.
+	w.store.SetFault(standin.NoWatchEvents) // It cuts the watch; the next hears nothing.
 	eventually(t, "the instance watches again", func() bool { return w.store.Calls("watch") > watches })
-	in.gateway.control.post(func() { time.Sleep(pause.Least + pause.Least/2) })
+	in.gateway.control.post(func() { time.Sleep(pause.MinPause + pause.MinPause/2) })
 	w.configure("h.example", "others")
 	before := old.requests.Load()
 	eventually(t, "served again", func() bool {
@@ -45,8 +45,8 @@
 	w.configure("h.example", "orders")
 	w.startUpstream("i-1", "orders")
 	eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
-	w.store.SetFault(standin.Silent)
-	in.gateway.control.post(func() { time.Sleep(pause.Least + pause.Least/2) })
+	w.store.SetFault(standin.Unresponsive)
+	in.gateway.control.post(func() { time.Sleep(pause.MinPause + pause.MinPause/2) })
 	eventually(t, "served again", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
 }
 
@@ -66,7 +66,7 @@
 	<-in.done
 	in.done <- nil
 	w.store.Delete("servers/" + left.id)
-	w.store.ForgetHistory()
+	w.store.Compact()
 	again := w.startWith(in.settings, "one")
 	eventually(t, "served", func() bool { status, _, _ := again.ask(t, "h.example", "/x"); return status == http.StatusOK })
 	w.register(left, "orders", "ready")
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -22,11 +22,11 @@
 
 // memberRecord is what an instance registers.
 type memberRecord struct {
-	Peer    dispatch.Peer  `cbor:"1,keyasint"` // New at each start.
-	Zone    string         `cbor:"2,keyasint"`
-	Callers string         `cbor:"3,keyasint"`           // Where callers connect.
-	Peers   netip.AddrPort `cbor:"4,keyasint"`           // Where datagrams go.
-	Link    float64        `cbor:"5,keyasint,omitempty"` // Mbit/s; 0 where it is not known.
+	Peer    dispatch.PeerID `cbor:"1,keyasint"` // New at each start.
+	Zone    string          `cbor:"2,keyasint"`
+	Callers string          `cbor:"3,keyasint"`           // Where callers connect.
+	Peers   netip.AddrPort  `cbor:"4,keyasint"`           // Where datagrams go.
+	Link    float64         `cbor:"5,keyasint,omitempty"` // Mbit/s; 0 where it is not known.
 }
 
 // member is another instance.
@@ -45,10 +45,10 @@
 	self  string // Key of this instance.
 	zone  string
 	log   *slog.Logger
-	quiet bool                      // Registrations are not logged one by one.
-	list  map[string]*member        // By key.
-	lives map[dispatch.Peer]*member // The same by life.
-	keep  map[string]bool           // Keepers, by key.
+	quiet bool                        // Registrations are not logged one by one.
+	list  map[string]*member          // By key.
+	lives map[dispatch.PeerID]*member // The same by life.
+	keep  map[string]bool             // Keepers, by key.
 }
 
 const (
@@ -59,7 +59,7 @@
 )
 
 func newMembers(id, zone string, log *slog.Logger) *members {
-	return &members{self: memberPrefix + id, zone: zone, log: log, list: make(map[string]*member), lives: make(map[dispatch.Peer]*member)}
+	return &members{self: memberPrefix + id, zone: zone, log: log, list: make(map[string]*member), lives: make(map[dispatch.PeerID]*member)}
 }
 
 // put takes in an instance's registration.
@@ -134,7 +134,7 @@
 
 // follow notes which instances of this zone follow the store, as one of its keepers tells. The
 // keepers tell of themselves.
-func (m *members) follow(keeper *member, followers []dispatch.Peer) {
+func (m *members) follow(keeper *member, followers []dispatch.PeerID) {
 	for _, e := range m.list {
 		if e != keeper && e.Zone == m.zone && !m.keep[e.key] {
 			e.follows = slices.Contains(followers, e.Peer)
--- a/internal/gateway/parts_test.go
+++ b/internal/gateway/parts_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestWeightsAreKept(t *testing.T) {
-	parts := []platform.Part{{Service: "a", Weight: 900}, {Service: "b", Weight: 100}}
+	parts := []platform.WeightedService{{Service: "a", Weight: 900}, {Service: "b", Weight: 100}}
 	n := 0
 	const draws = 20_000
 	for range draws {
@@ -88,13 +88,13 @@
 
 func TestMessagesSurviveTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := message{From: dispatch.Peer(rapid.Uint64().Draw(t, "from")), Revision: platform.Revision(rapid.Uint64().Draw(t, "revision")), Leaving: rapid.Bool().Draw(t, "leaving"), Seasoned: rapid.Bool().Draw(t, "seasoned")}
+		m := message{From: dispatch.PeerID(rapid.Uint64().Draw(t, "from")), Revision: platform.Revision(rapid.Uint64().Draw(t, "revision")), Leaving: rapid.Bool().Draw(t, "leaving"), Seasoned: rapid.Bool().Draw(t, "seasoned")}
 		for range rapid.IntRange(0, maxEvents).Draw(t, "events") {
 			m.Events = append(m.Events, dispatch.Event{
-				Endpoint: dispatch.EndpointID(rapid.Uint32().Draw(t, "endpoint")),
-				InFlight: rapid.IntRange(0, 200).Draw(t, "in flight"),
-				Kind:     dispatch.EventKind(rapid.IntRange(1, 8).Draw(t, "kind")),
-				Took:     rapid.IntRange(0, 60_000).Draw(t, "took"),
+				Endpoint:      dispatch.EndpointID(rapid.Uint32().Draw(t, "endpoint")),
+				InFlight:      rapid.IntRange(0, 200).Draw(t, "in flight"),
+				Kind:          dispatch.EventKind(rapid.IntRange(1, 8).Draw(t, "kind")),
+				LatencyMillis: rapid.IntRange(0, 60_000).Draw(t, "took"),
 			})
 		}
 		data, err := encodeMessage(m)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -18,7 +18,7 @@
 // message is what one instance tells all others in a datagram.
 type message struct {
 	_         struct{} `cbor:",toarray"`
-	From      dispatch.Peer
+	From      dispatch.PeerID
 	Revision  platform.Revision // Of the store, as far as the sender has followed it.
 	Leaving   bool
 	Seasoned  bool // The sender has counted repeats for a whole window.
@@ -148,11 +148,11 @@
 	at := make(map[string]netip.AddrPort, len(zone))
 	for _, e := range zone {
 		key, _ := e.Peers.MarshalBinary() // It never fails.
-		list = append(list, broker.Instance{Life: uint64(e.Peer), Key: string(key), Link: e.Link})
+		list = append(list, broker.Instance{Incarnation: uint64(e.Peer), Key: string(key), LinkMbps: e.Link})
 		at[string(key)] = e.Peers
 	}
 	var relays []netip.AddrPort
-	for _, i := range broker.Keepers(list) {
+	for _, i := range broker.Coordinators(list) {
 		relays = append(relays, at[i.Key])
 	}
 	return relays
--- a/internal/gateway/pieces.go
+++ b/internal/gateway/pieces.go
@@ -18,7 +18,7 @@
 // with instances times configurations.
 type piece struct {
 	_     struct{} `cbor:",toarray"`
-	From  dispatch.Peer
+	From  dispatch.PeerID
 	At    platform.Revision // Of the feed; it names the feed.
 	Index int
 	Count int
@@ -50,7 +50,7 @@
 
 // joiner puts feeds together from their pieces, one feed of each sender at a time: the newest.
 type joiner struct {
-	open map[dispatch.Peer]*joining
+	open map[dispatch.PeerID]*joining
 }
 
 type joining struct {
@@ -68,7 +68,7 @@
 		return nil
 	}
 	if j.open == nil || len(j.open) >= sendersMost && j.open[p.From] == nil {
-		j.open = make(map[dispatch.Peer]*joining)
+		j.open = make(map[dispatch.PeerID]*joining)
 	}
 	f := j.open[p.From]
 	if f == nil || p.At > f.at {
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -23,7 +23,7 @@
 
 // pending is a question that waits for its answer.
 type pending struct {
-	ask    dispatch.Ask
+	ask    dispatch.Request
 	to     broker.Instance
 	answer chan<- acquired
 	timer  *time.Timer
@@ -35,8 +35,8 @@
 
 // place has a request placed: by its service's broker, or by this instance itself where it
 // knows of none that answers.
-func (c *control) place(now time.Time, a dispatch.Ask, answer chan<- acquired) {
-	a.Crossing = c.machine.CrossingCost(a.Class, a.Large)
+func (c *control) place(now time.Time, a dispatch.Request, answer chan<- acquired) {
+	a.CrossZoneCost = c.machine.CrossZoneCost(a.SizeClass, a.LargeResponse)
 	to, ok := c.placing.suspects.Pick(now, broker.Rank(a.Service, c.keepers))
 	if !ok {
 		c.placeHere(now, a, answer)
@@ -44,32 +44,32 @@
 	}
 	c.placing.seq++
 	seq := c.placing.seq
-	beyond := c.machine.OutOfReach(now, a.Service, triedMost)
+	beyond := c.machine.UnreachableEndpoints(now, a.Service, triedMost)
 	q := questionOf(c.peer, seq, now, a)
 	q.Tried = append(q.Tried[:len(q.Tried):len(q.Tried)], beyond...)
 	p := &pending{ask: a, to: to, answer: answer}
 	p.timer = time.AfterFunc(askTimeout, func() { c.post(func() { c.unanswered(time.Now(), seq) }) })
 	c.placing.open[seq] = p
-	c.ask(now, to.Life, q)
+	c.ask(now, to.Incarnation, q)
 }
 
 // placeHere has this instance place a request by what it has seen itself.
-func (c *control) placeHere(now time.Time, a dispatch.Ask, answer chan<- acquired) {
-	grant, rejection := c.machine.Ask(now, a)
+func (c *control) placeHere(now time.Time, a dispatch.Request, answer chan<- acquired) {
+	grant, rejection := c.machine.Acquire(now, a)
 	answer <- acquired{grant: grant, rejection: rejection}
 }
 
 // ask takes a question to a broker.
 func (c *control) ask(now time.Time, to uint64, q question) {
-	if dispatch.Peer(to) == c.peer {
+	if dispatch.PeerID(to) == c.peer {
 		c.answer(now, q)
 		return
 	}
-	c.sendTo(dispatch.Peer(to), brokerQuestion, q)
+	c.sendTo(dispatch.PeerID(to), brokerQuestion, q)
 }
 
 // sendTo sends a message to one instance. A loss is mended by timeouts.
-func (c *control) sendTo(to dispatch.Peer, kind byte, m any) {
+func (c *control) sendTo(to dispatch.PeerID, kind byte, m any) {
 	e := c.members.lives[to]
 	if e == nil {
 		return
@@ -89,7 +89,7 @@
 		return
 	}
 	delete(c.placing.open, seq)
-	c.placing.suspects.Silent(now, p.to.Life)
+	c.placing.suspects.Add(now, p.to.Incarnation)
 	c.brokerSilent.Add(1)
 	c.placeHere(now, p.ask, p.answer)
 }
@@ -100,7 +100,7 @@
 		return // It answers a question of a former life.
 	}
 	p := c.placing.open[r.Seq]
-	from := broker.Instance{Life: uint64(r.Broker)}
+	from := broker.Instance{Incarnation: uint64(r.Broker)}
 	if p == nil {
 		if _, twice := c.placing.granted[r.Seq]; r.Reason == 0 && !twice {
 			c.tellEnding(now, from, r.Seq, dispatch.EndedUnknown, 0) // It came too late.
@@ -112,7 +112,7 @@
 	if r.Reason != 0 {
 		p.answer <- acquired{rejection: &dispatch.Rejection{
 			Reason: r.Reason, RetryAfter: time.Duration(r.RetryAfter) * time.Millisecond,
-			Expected: time.Duration(r.Expected) * time.Millisecond, Left: p.ask.Deadline.Sub(now),
+			ExpectedLatency: time.Duration(r.Expected) * time.Millisecond, TimeLeft: p.ask.Deadline.Sub(now),
 		}}
 		return
 	}
@@ -124,49 +124,49 @@
 	}
 	c.placing.granted[r.Seq] = from
 	p.answer <- acquired{grant: dispatch.Grant{
-		Endpoint: endpoint, Ticket: r.Seq, Chance: fromPerMille(r.Chance), InFlight: r.InFlight, Usual: time.Duration(r.Usual) * time.Millisecond,
+		Endpoint: endpoint, BrokerSeq: r.Seq, Chance: fromPerMille(r.Chance), InFlight: r.InFlight, BaselineLatency: time.Duration(r.Usual) * time.Millisecond,
 	}}
 }
 
 // tellEnding tells a broker what became of a grant.
 func (c *control) tellEnding(now time.Time, to broker.Instance, seq uint64, kind dispatch.EventKind, took time.Duration) {
 	e := ending{From: c.peer, Seq: seq, Kind: kind, Took: int(took.Milliseconds())}
-	if dispatch.Peer(to.Life) == c.peer {
+	if dispatch.PeerID(to.Incarnation) == c.peer {
 		c.hearEnding(now, e)
 		return
 	}
-	c.sendTo(dispatch.Peer(to.Life), brokerEnding, e)
+	c.sendTo(dispatch.PeerID(to.Incarnation), brokerEnding, e)
 }
 
 // ended takes in the end of a granted request.
 func (c *control) ended(now time.Time, g dispatch.Grant, kind dispatch.EventKind, took time.Duration) {
-	if g.Ticket == 0 {
+	if g.BrokerSeq == 0 {
 		c.machine.Ended(now, g.Endpoint.ID, kind, took)
 		return
 	}
-	c.machine.Witnessed(now, g.Endpoint.ID, kind, took)
-	c.tellEnding(now, c.placing.granted[g.Ticket], g.Ticket, kind, took)
-	delete(c.placing.granted, g.Ticket)
+	c.machine.BrokeredEnded(now, g.Endpoint.ID, kind, took)
+	c.tellEnding(now, c.placing.granted[g.BrokerSeq], g.BrokerSeq, kind, took)
+	delete(c.placing.granted, g.BrokerSeq)
 }
 
 // unreachable takes in that a granted request could not be sent.
 func (c *control) unreachable(now time.Time, g dispatch.Grant) {
-	if g.Ticket == 0 {
-		c.machine.Unreachable(now, g.Endpoint.ID)
+	if g.BrokerSeq == 0 {
+		c.machine.SendFailed(now, g.Endpoint.ID)
 		return
 	}
-	c.machine.CutOff(now, g.Endpoint.ID)
-	c.tellEnding(now, c.placing.granted[g.Ticket], g.Ticket, unreached, 0)
-	delete(c.placing.granted, g.Ticket)
+	c.machine.BrokeredSendFailed(now, g.Endpoint.ID)
+	c.tellEnding(now, c.placing.granted[g.BrokerSeq], g.BrokerSeq, unreached, 0)
+	delete(c.placing.granted, g.BrokerSeq)
 }
 
 // runsLong takes in that a granted request has no answer yet.
 func (c *control) runsLong(now time.Time, g dispatch.Grant) {
-	if g.Ticket == 0 {
-		c.machine.RunsLong(now, g.Endpoint.ID)
+	if g.BrokerSeq == 0 {
+		c.machine.Overdue(now, g.Endpoint.ID)
 		return
 	}
-	if to, ok := c.placing.granted[g.Ticket]; ok {
-		c.tellEnding(now, to, g.Ticket, dispatch.RunsLong, 0)
+	if to, ok := c.placing.granted[g.BrokerSeq]; ok {
+		c.tellEnding(now, to, g.BrokerSeq, dispatch.Overdue, 0)
 	}
 }
--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -48,19 +48,19 @@
 		old.Upstream = u
 		return false
 	}
-	r.entries[key] = &entry{Upstream: u, warmUntil: now.Add(u.WarmUp)}
+	r.entries[key] = &entry{Upstream: u, warmUntil: now.Add(u.WarmUpLeft)}
 	if r.quiet {
 		return true
 	}
 	r.log.Info("upstream", "upstream", u.ID, "service", u.Service, "address", u.Address, "zone", u.Zone, "slots", u.Slots,
-		"leaving", u.State == platform.UpstreamLeaving, "warm_up_ms", u.WarmUp.Milliseconds())
+		"leaving", u.State == platform.UpstreamDraining, "warm_up_ms", u.WarmUpLeft.Milliseconds())
 	return true
 }
 
 // sameUse tells whether two registrations are used alike.
 func sameUse(a, b platform.Upstream) bool {
 	a.Sequence, b.Sequence = 0, 0
-	a.WarmUp, b.WarmUp = 0, 0
+	a.WarmUpLeft, b.WarmUpLeft = 0, 0
 	return a == b
 }
 
@@ -83,7 +83,7 @@
 	if e == nil {
 		return false
 	}
-	if e.State == platform.UpstreamLeaving {
+	if e.State == platform.UpstreamDraining {
 		return r.remove(key)
 	}
 	if e.lapsed.IsZero() {
@@ -119,7 +119,7 @@
 		}
 		list = append(list, dispatch.Endpoint{
 			ID: endpointID(e.ID), Name: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone,
-			Slots: e.Slots, Leaving: e.State == platform.UpstreamLeaving, Started: e.Started, WarmUntil: e.warmUntil,
+			Slots: e.Slots, Draining: e.State == platform.UpstreamDraining, Started: e.Started, WarmUpEnd: e.warmUntil,
 		})
 	}
 	return list
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -16,24 +16,24 @@
 	t      *testing.T
 	routes map[netip.AddrPort]*routes
 	relays map[netip.AddrPort]*relay
-	heard  map[netip.AddrPort]map[dispatch.Peer]int // Messages by receiver and sender.
-	sent   map[netip.AddrPort]int                   // Datagrams.
+	heard  map[netip.AddrPort]map[dispatch.PeerID]int // Messages by receiver and sender.
+	sent   map[netip.AddrPort]int                     // Datagrams.
 }
 
 func newZones(t *testing.T, sizes map[string]int) (*zones, []*member) {
 	t.Helper()
-	z := &zones{t: t, routes: map[netip.AddrPort]*routes{}, relays: map[netip.AddrPort]*relay{}, heard: map[netip.AddrPort]map[dispatch.Peer]int{}, sent: map[netip.AddrPort]int{}}
+	z := &zones{t: t, routes: map[netip.AddrPort]*routes{}, relays: map[netip.AddrPort]*relay{}, heard: map[netip.AddrPort]map[dispatch.PeerID]int{}, sent: map[netip.AddrPort]int{}}
 	var all []*member
 	for zone, n := range sizes {
 		for i := range n {
 			at := netip.MustParseAddrPort(fmt.Sprintf("10.%d.0.%d:7540", zone[0], i+1))
-			all = append(all, &member{memberRecord: memberRecord{Peer: dispatch.Peer(len(all) + 1), Zone: zone, Peers: at}})
+			all = append(all, &member{memberRecord: memberRecord{Peer: dispatch.PeerID(len(all) + 1), Zone: zone, Peers: at}})
 		}
 	}
 	for k, e := range all {
 		others := append(append([]*member{}, all[:k]...), all[k+1:]...)
 		z.routes[e.Peers] = newRoutes(others, e.memberRecord)
-		z.heard[e.Peers] = map[dispatch.Peer]int{}
+		z.heard[e.Peers] = map[dispatch.PeerID]int{}
 		z.relays[e.Peers] = &relay{
 			send: func(data []byte, to []netip.AddrPort) { z.send(e.Peers, data, to) },
 			to:   func() []netip.AddrPort { return z.routes[e.Peers].zone },
@@ -115,8 +115,8 @@
 	for _, e := range zone {
 		e.Link = 10
 	}
-	if got := relaysOf(zone); len(got) != broker.KeepersMost {
-		t.Errorf("%d relays among equals, want %d", len(got), broker.KeepersMost)
+	if got := relaysOf(zone); len(got) != broker.MaxCoordinators {
+		t.Errorf("%d relays among equals, want %d", len(got), broker.MaxCoordinators)
 	}
 	if got := relaysOf(zone[:1]); len(got) != 1 {
 		t.Errorf("%d relays of a zone of one", len(got))
--- a/internal/gateway/roll.go
+++ b/internal/gateway/roll.go
@@ -25,16 +25,16 @@
 	if len(c.members.list)+1 >= c.settings.Place.BrokersFrom {
 		byZone := make(map[string][]broker.Instance)
 		for _, e := range alive {
-			byZone[e.Zone] = append(byZone[e.Zone], broker.Instance{Life: uint64(e.Peer), Key: e.key, Link: e.Link})
+			byZone[e.Zone] = append(byZone[e.Zone], broker.Instance{Incarnation: uint64(e.Peer), Key: e.key, LinkMbps: e.Link})
 		}
 		own := c.settings.Instance.Zone
 		if !c.leaving {
-			byZone[own] = append(byZone[own], broker.Instance{Life: uint64(c.peer), Key: c.members.self, Link: c.self.Link})
+			byZone[own] = append(byZone[own], broker.Instance{Incarnation: uint64(c.peer), Key: c.members.self, LinkMbps: c.self.Link})
 		}
-		c.keepers = broker.Keepers(byZone[own])
+		c.keepers = broker.Coordinators(byZone[own])
 		delete(byZone, own)
 		for zone, list := range byZone {
-			byZone[zone] = broker.Keepers(list)
+			byZone[zone] = broker.Coordinators(list)
 		}
 		c.foreign = byZone
 	}
@@ -43,12 +43,12 @@
 		c.log.Info("keeper of the zone", "keepers", len(c.keepers), "instances", len(c.members.list)+1)
 	}
 	c.members.rank(c.keepers)
-	c.duty.Rename(c.members.order(c.members.self))
+	c.duty.SetKey(c.members.order(c.members.self))
 }
 
 // keeps tells whether this instance is a keeper.
 func (c *control) keeps() bool {
-	return slices.ContainsFunc(c.keepers, func(i broker.Instance) bool { return i.Life == uint64(c.peer) })
+	return slices.ContainsFunc(c.keepers, func(i broker.Instance) bool { return i.Incarnation == uint64(c.peer) })
 }
 
 // brokered tells whether the fleet is so large that brokers place its requests.
@@ -81,7 +81,7 @@
 func (c *control) peersOf(list []broker.Instance) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, i := range list {
-		if e := c.members.lives[dispatch.Peer(i.Life)]; e != nil {
+		if e := c.members.lives[dispatch.PeerID(i.Incarnation)]; e != nil {
 			out = append(out, e.Peers)
 		}
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	c.hear(now, &message{From: r.From, Revision: r.Revision, Leaving: r.Leaving, Following: r.Following, Troubled: r.Troubled})
-	silent := make(map[dispatch.Peer]bool, len(r.Silent))
+	silent := make(map[dispatch.PeerID]bool, len(r.Silent))
 	for _, p := range r.Silent {
 		silent[p] = true
 	}
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -49,7 +49,7 @@
 }
 
 // pick draws a service by the parts' weights.
-func pick(parts []platform.Part) string {
+func pick(parts []platform.WeightedService) string {
 	if len(parts) == 1 {
 		return parts[0].Service
 	}
--- a/internal/gateway/side.go
+++ b/internal/gateway/side.go
@@ -66,7 +66,7 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	asker := platform.ReadAsker(&ctx.Request)
+	asker := platform.ReadDiscoveryQuery(&ctx.Request)
 	list := g.addresses(asker.Zone)
 	if len(list) == 0 {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
