--- a/coord/dispatch/endpoint.go
+++ b/coord/dispatch/endpoint.go
@@ -6,74 +6,74 @@
 	"github.com/damaskcove/damaskcove/coord/outlook"
 )
 
-// tracked is what an instance knows of one endpoint.
-type tracked struct {
+// endpointState is the state of one endpoint as an instance knows it.
+type endpointState struct {
 	Endpoint
-	joined   time.Time
-	own      int            // This instance's requests in flight.
-	peers    map[PeerID]int // Other instances' requests in flight.
-	inFlight int            // Sum of own and peers.
-	estimate outlook.Estimate
-	took     average[time.Duration] // Time of served requests.
-	used     time.Time              // Last start by any instance; zero before the first.
-	failed   time.Time              // Last failure seen by any instance.
-	reach    reach
+	addedAt      time.Time
+	own          int            // This instance's requests in flight.
+	peerInFlight map[PeerID]int // Other instances' requests in flight.
+	inFlight     int            // Sum of own and peerInFlight.
+	estimate     outlook.Estimate
+	latency      ewma[time.Duration] // Of served requests.
+	lastUsed     time.Time           // Last start by any instance; zero before the first.
+	lastFailed   time.Time           // Last failure reported by any instance.
+	reach        reachability
 }
 
-// reach is whether this instance itself gets through to an endpoint.
-type reach struct {
-	failures int
-	until    time.Time // No request goes there before.
+// reachability is whether this instance itself can reach an endpoint.
+type reachability struct {
+	failures     int
+	backoffUntil time.Time // No request is sent there before.
 }
 
 const (
-	// reachHold is the first pause after an endpoint could not be reached; it doubles up to reachHoldMax,
-	// which is about the length of the users' one-sided cuts.
-	reachHold    = 500 * time.Millisecond
-	reachHoldMax = 4 * time.Second
+	// minReachBackoff is the first backoff after an endpoint could not be reached; it doubles up to
+	// maxReachBackoff, which is about the length of the one-sided network partitions to expect.
+	minReachBackoff = 500 * time.Millisecond
+	maxReachBackoff = 4 * time.Second
 )
 
-func (r *reach) fail(now time.Time) {
-	hold := min(reachHold<<min(r.failures, 8), reachHoldMax)
+func (r *reachability) recordFailure(now time.Time) {
+	backoff := min(minReachBackoff<<min(r.failures, 8), maxReachBackoff)
 	r.failures++
-	r.until = now.Add(hold)
+	r.backoffUntil = now.Add(backoff)
 }
 
-// release counts out one of this instance's requests.
-func (t *tracked) release() {
-	t.own = max(t.own-1, 0)
-	t.inFlight = max(t.inFlight-1, 0)
+// release removes one of this instance's requests in flight.
+func (s *endpointState) release() {
+	s.own = max(s.own-1, 0)
+	s.inFlight = max(s.inFlight-1, 0)
 }
 
-func (t *tracked) setPeer(p PeerID, inFlight int) {
-	t.inFlight += inFlight - t.peers[p]
+func (s *endpointState) setPeerInFlight(p PeerID, inFlight int) {
+	s.inFlight += inFlight - s.peerInFlight[p]
 	if inFlight == 0 {
-		delete(t.peers, p)
+		delete(s.peerInFlight, p)
 		return
 	}
-	t.peers[p] = inFlight
+	s.peerInFlight[p] = inFlight
 }
 
-// average is an exponentially weighted mean.
-type average[T ~int64 | ~float64] struct {
+// ewma is an exponentially weighted moving average.
+type ewma[T ~int64 | ~float64] struct {
 	mean   T
 	weight float64
 }
 
 const (
-	// averageWeight bounds the weight of the past: the last dozen values count.
-	averageWeight = 12
-	// usualTime is the mean time of a request until some were served.
-	usualTime = 300 * time.Millisecond
+	// maxEWMAWeight bounds the weight of the past, so that about the last dozen values count.
+	maxEWMAWeight = 12
+	// defaultLatency is the prior of a service's latency.
+	defaultLatency = 300 * time.Millisecond
 )
 
-func (a *average[T]) add(v T) {
-	a.weight = min(a.weight+1, averageWeight)
+func (a *ewma[T]) add(v T) {
+	a.weight = min(a.weight+1, maxEWMAWeight)
 	a.mean += T(float64(v-a.mean) / a.weight)
 }
 
-// or returns the mean, drawn towards a usual value while few values count.
-func (a average[T]) or(usual T) T {
-	const prior = 3 // Weight of the usual value.
-	return T((a.weight*float64(a.mean) + prior*float64(usual)) / (a.weight + prior))
+// withPrior returns the mean, drawn towards a prior value while it is made of few values.
+func (a ewma[T]) withPrior(prior T) T {
+	const priorWeight = 3
+	return T((a.weight*float64(a.mean) + priorWeight*float64(prior)) / (a.weight + priorWeight))
 }
--- a/coord/dispatch/machine.go
+++ b/coord/dispatch/machine.go
@@ -9,72 +9,73 @@
 	"github.com/damaskcove/damaskcove/coord/retrybudget"
 )
 
-// Machine is one instance's view of the fleet's work.
+// Machine is one instance's view of the fleet's load.
 type Machine struct {
-	cfg       Config
-	random    rand.Source
-	blind     time.Time // Until when repeats of others may have gone uncounted: the start, or the end of a cut.
-	services  map[string]*service
-	endpoints map[EndpointID]*tracked
-	heard     map[PeerID]heard
-	sizes     map[string]*average[float64] // Kilobytes of answers, by class.
-	reports   []Event                      // Not yet taken.
-	urgent    bool                         // One of them tells of a failure, a repeat or a trial.
+	cfg           Config
+	random        rand.Source
+	countingSince time.Time // Start of this instance or end of the last partition; retries of others before it may be uncounted.
+	services      map[string]*service
+	endpoints     map[EndpointID]*endpointState
+	peerStates    map[PeerID]peerState
+	responseKB    map[string]*ewma[float64] // Size of response bodies, by class.
+	events        []Event                   // Not yet taken.
+	urgent        bool                      // One of events is a failure, a retry or a trial.
 
-	peers       int // Other instances that are known.
+	peerCount   int // Other instances in the fleet.
 	peersByZone map[string]int
 }
 
-// heard is when a peer was heard last.
-type heard struct {
-	at       time.Time
-	seasoned bool // It has counted for a whole retry window.
+// peerState is the last report of a peer.
+type peerState struct {
+	reportedAt time.Time
+	fullWindow bool // The peer HasFullRetryWindow.
 }
 
 // New returns a Machine without endpoints for an instance that starts now.
 func New(cfg Config, now time.Time, random rand.Source) *Machine {
 	return &Machine{
-		cfg:       cfg,
-		random:    random,
-		blind:     now,
-		services:  make(map[string]*service),
-		endpoints: make(map[EndpointID]*tracked),
-		heard:     make(map[PeerID]heard),
-		sizes:     make(map[string]*average[float64]),
+		cfg:           cfg,
+		random:        random,
+		countingSince: now,
+		services:      make(map[string]*service),
+		endpoints:     make(map[EndpointID]*endpointState),
+		peerStates:    make(map[PeerID]peerState),
+		responseKB:    make(map[string]*ewma[float64]),
 	}
 }
 
-// TakeReports returns what is to be told to all other instances since the last call. It is
-// urgent where a request that is placed without knowing it may fail, or overspend the budget.
+// TakeReports returns the events since the last call, which are to be sent to all other
+// instances. They are urgent if a request that is placed without them may fail or overspend
+// the retry budget.
 func (m *Machine) TakeReports() (events []Event, urgent bool) {
-	events, urgent = m.reports, m.urgent
-	m.reports, m.urgent = nil, false
+	events, urgent = m.events, m.urgent
+	m.events, m.urgent = nil, false
 	return events, urgent
 }
 
-// SetPeers tells how many other instances there are in each availability zone.
+// SetPeers sets the number of other instances in each availability zone.
 func (m *Machine) SetPeers(byZone map[string]int) {
-	m.peersByZone, m.peers = byZone, 0
+	m.peersByZone, m.peerCount = byZone, 0
 	for _, n := range byZone {
-		m.peers += n
+		m.peerCount += n
 	}
 }
 
-// SetEndpoints replaces the list of endpoints. What is known of those that stay is kept.
+// SetEndpoints replaces the list of endpoints. The state of those that remain is kept.
 func (m *Machine) SetEndpoints(now time.Time, list []Endpoint) {
-	next := make(map[EndpointID]*tracked, len(list))
+	next := make(map[EndpointID]*endpointState, len(list))
 	for _, s := range m.services {
 		s.endpoints = s.endpoints[:0]
 	}
 	for _, e := range list {
-		t := m.endpoints[e.ID]
-		if t == nil || t.Service != e.Service || t.Address != e.Address || !t.Started.Equal(e.Started) {
-			t = &tracked{joined: now, peers: make(map[PeerID]int), estimate: outlook.New(m.cfg.HealthModel, now)}
+		state := m.endpoints[e.ID]
+		if state == nil || state.Service != e.Service || state.Address != e.Address || !state.Started.Equal(e.Started) {
+			state = &endpointState{addedAt: now, peerInFlight: make(map[PeerID]int), estimate: outlook.New(m.cfg.HealthModel, now)}
 		}
-		t.Endpoint = e
-		next[e.ID] = t
+		state.Endpoint = e
+		next[e.ID] = state
 		s := m.service(e.Service)
-		s.endpoints = append(s.endpoints, t)
+		s.endpoints = append(s.endpoints, state)
 	}
 	m.endpoints = next
 }
@@ -82,48 +83,48 @@
 func (m *Machine) service(name string) *service {
 	s := m.services[name]
 	if s == nil {
-		s = &service{budget: retrybudget.New(m.cfg.RetryBound, m.blind), recent: window.New(recentSlices, recentSlice)}
+		s = &service{budget: retrybudget.New(m.cfg.RetryBound, m.countingSince), recent: window.New(recentSlices, recentSlice)}
 		m.services[name] = s
 	}
 	return s
 }
 
-// Acquire gives a request an endpoint, or turns it away.
-func (m *Machine) Acquire(now time.Time, a Request) (Grant, *Rejection) {
-	s := m.service(a.Service)
-	left := a.Deadline.Sub(now)
-	mayRepeat := (a.Idempotent || a.Retry) && !m.deferred(now) && s.budget.Allows(now, m.budgetShare(now))
-	if a.Retry && !mayRepeat {
-		return Grant{}, &Rejection{Reason: RetryBudgetExhausted, TimeLeft: left}
+// Acquire places a request on an endpoint, or rejects it.
+func (m *Machine) Acquire(now time.Time, r Request) (Grant, *Rejection) {
+	s := m.service(r.Service)
+	timeLeft := r.Deadline.Sub(now)
+	mayRetry := (r.Idempotent || r.Retry) && !m.leavesRetriesToPeers(now) && s.budget.Allows(now, m.budgetShare(now))
+	if r.Retry && !mayRetry {
+		return Grant{}, &Rejection{Reason: RetryBudgetExhausted, TimeLeft: timeLeft}
 	}
-	a.repeatable = a.Idempotent && !a.Retry && mayRepeat
-	c, ok := m.choose(now, s, &a)
+	r.retryable = r.Idempotent && !r.Retry && mayRetry
+	c, ok := m.choose(now, s, &r)
 	switch {
 	case !ok:
-		return Grant{}, &Rejection{Reason: NoEndpoint, RetryAfter: s.usual(), TimeLeft: left}
-	case a.Hedge && (c.chance < coverChance || c.endpoint.inFlight >= c.endpoint.Slots-1):
-		return Grant{}, &Rejection{Reason: NoSpareSlot, TimeLeft: left}
-	case a.MinScore > 0 && c.worth < a.MinScore:
-		return Grant{}, &Rejection{Reason: ScoreTooLow, BestScore: c.worth, TimeLeft: left}
-	case c.lost(left, a.Idempotent):
-		return Grant{}, &Rejection{Reason: Overloaded, RetryAfter: s.usual(), ExpectedLatency: c.finish, TimeLeft: left}
+		return Grant{}, &Rejection{Reason: NoEndpoint, RetryAfter: s.baselineLatency(), TimeLeft: timeLeft}
+	case r.Hedge && (c.chance < healthyChance || c.endpoint.inFlight >= c.endpoint.Slots-1):
+		return Grant{}, &Rejection{Reason: NoSpareSlot, TimeLeft: timeLeft}
+	case r.MinScore > 0 && c.score < r.MinScore:
+		return Grant{}, &Rejection{Reason: ScoreTooLow, BestScore: c.score, TimeLeft: timeLeft}
+	case c.tooUnlikely(timeLeft, r.Idempotent):
+		return Grant{}, &Rejection{Reason: Overloaded, RetryAfter: s.baselineLatency(), ExpectedLatency: c.expectedLatency, TimeLeft: timeLeft}
 	}
-	return m.start(now, s, c, a.Retry), nil
+	return m.grant(now, s, c, r.Retry), nil
 }
 
-// HasFullRetryWindow tells whether this instance has counted for a whole retry window.
+// HasFullRetryWindow reports whether this instance has counted all retries for a whole retry window.
 func (m *Machine) HasFullRetryWindow(now time.Time) bool {
-	return now.Sub(m.blind) >= m.cfg.RetryBound.Window
+	return now.Sub(m.countingSince) >= m.cfg.RetryBound.Window
 }
 
-// deferred tells whether repeats are left to others: they know what was spent before this
-// instance started, and may be spending all of the budget.
-func (m *Machine) deferred(now time.Time) bool {
+// leavesRetriesToPeers reports whether only other instances may retry: this one has not
+// counted for a whole window, and a peer that has may be spending the whole budget.
+func (m *Machine) leavesRetriesToPeers(now time.Time) bool {
 	if m.HasFullRetryWindow(now) {
 		return false
 	}
-	for _, h := range m.heard {
-		if h.seasoned && now.Sub(h.at) < heardTimeout {
+	for _, p := range m.peerStates {
+		if p.fullWindow && now.Sub(p.reportedAt) < heartbeatTimeout {
 			return true
 		}
 	}
@@ -132,71 +133,71 @@
 
 // budgetShare returns the part of the shared budget that this instance may spend.
 func (m *Machine) budgetShare(now time.Time) float64 {
-	return float64(min(m.heardNow(now), m.peers)+1) / float64(m.peers+1)
+	return float64(min(m.livePeers(now), m.peerCount)+1) / float64(m.peerCount+1)
 }
 
-// heardTimeout is a few intervals of heartbeats, after which a peer's repeats go uncounted.
-const heardTimeout = 1600 * time.Millisecond
+// heartbeatTimeout is a few heartbeat intervals, after which the retries of a silent peer may be uncounted.
+const heartbeatTimeout = 1600 * time.Millisecond
 
-// heardNow returns the number of peers whose repeats are counted.
-func (m *Machine) heardNow(now time.Time) int {
+// livePeers returns the number of peers whose retries are counted.
+func (m *Machine) livePeers(now time.Time) int {
 	n := 0
-	for _, h := range m.heard {
-		if now.Sub(h.at) < heardTimeout {
+	for _, p := range m.peerStates {
+		if now.Sub(p.reportedAt) < heartbeatTimeout {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *Machine) start(now time.Time, s *service, c choice, repeat bool) Grant {
+func (m *Machine) grant(now time.Time, s *service, c candidate, retry bool) Grant {
 	e := c.endpoint
 	e.own++
 	e.inFlight++
-	e.used = now
-	s.budget.Sent(now, repeat)
+	e.lastUsed = now
+	s.budget.Sent(now, retry)
 	kind := Started
-	if repeat {
+	if retry {
 		kind = Retried
 	}
-	m.report(e, kind, 0)
-	m.urgent = m.urgent || repeat || c.chance < unprovenChance
-	return Grant{Endpoint: e.Endpoint, Chance: c.chance, InFlight: e.inFlight, BaselineLatency: e.took.or(s.usual())}
+	m.addEvent(e, kind, 0)
+	m.urgent = m.urgent || retry || c.chance < unprovenChance
+	return Grant{Endpoint: e.Endpoint, Chance: c.chance, InFlight: e.inFlight, BaselineLatency: e.latency.withPrior(s.baselineLatency())}
 }
 
-func (m *Machine) report(e *tracked, kind EventKind, took time.Duration) {
+func (m *Machine) addEvent(e *endpointState, kind EventKind, latency time.Duration) {
 	if m.cfg.NoReports {
 		return
 	}
-	m.reports = append(m.reports, Event{Endpoint: e.ID, InFlight: e.own, Kind: kind, LatencyMillis: int(took.Milliseconds())})
+	m.events = append(m.events, Event{Endpoint: e.ID, InFlight: e.own, Kind: kind, LatencyMillis: int(latency.Milliseconds())})
 	m.urgent = m.urgent || kind == EndedFailed || kind == EndedBroken || kind == Overdue
 }
 
-// Ended takes in the end of a granted request.
-func (m *Machine) Ended(now time.Time, id EndpointID, kind EventKind, took time.Duration) {
+// Ended records the end of a request that this instance granted to itself.
+func (m *Machine) Ended(now time.Time, id EndpointID, kind EventKind, latency time.Duration) {
 	e := m.endpoints[id]
 	if e == nil {
 		return
 	}
 	e.release()
 	e.reach.failures = 0
-	m.learn(now, e, kind, took)
-	m.report(e, kind, took)
+	m.observe(now, e, kind, latency)
+	m.addEvent(e, kind, latency)
 }
 
-// SendFailed takes in that a granted request could not be sent from this instance.
+// SendFailed records that this instance could not send a request that it had granted to itself.
 func (m *Machine) SendFailed(now time.Time, id EndpointID) {
 	e := m.endpoints[id]
 	if e == nil {
 		return
 	}
 	e.release()
-	e.reach.fail(now)
-	m.report(e, EndedUnknown, 0)
+	e.reach.recordFailure(now)
+	m.addEvent(e, EndedUnknown, 0)
 }
 
-// RemoteSendFailed takes in that an instance to which this one had granted an endpoint could not
-// reach it. Where others can, their answers soon outweigh it.
+// RemoteSendFailed records that another instance, to which this one had granted an endpoint,
+// could not reach it. If others can, their outcomes soon outweigh this one.
 func (m *Machine) RemoteSendFailed(now time.Time, id EndpointID) {
 	if e := m.endpoints[id]; e != nil {
 		e.release()
@@ -204,34 +205,33 @@
 	}
 }
 
-// BrokeredEnded takes in how a request ended that a broker had granted.
-func (m *Machine) BrokeredEnded(now time.Time, id EndpointID, kind EventKind, took time.Duration) {
+// BrokeredEnded records the end of this instance's request that a broker had granted.
+func (m *Machine) BrokeredEnded(now time.Time, id EndpointID, kind EventKind, latency time.Duration) {
 	if e := m.endpoints[id]; e != nil {
-		m.learn(now, e, kind, took)
+		m.observe(now, e, kind, latency)
 	}
 }
 
-// BrokeredSendFailed takes in that an endpoint could not be reached from this instance, for a request
-// that a broker had granted.
+// BrokeredSendFailed records that this instance could not send a request that a broker had granted.
 func (m *Machine) BrokeredSendFailed(now time.Time, id EndpointID) {
 	if e := m.endpoints[id]; e != nil {
-		e.reach.fail(now)
+		e.reach.recordFailure(now)
 	}
 }
 
-// UnreachableEndpoints returns the endpoints of a service that this instance does not get through to, at
-// most some.
-func (m *Machine) UnreachableEndpoints(now time.Time, service string, most int) []EndpointID {
+// UnreachableEndpoints returns the endpoints of a service that this instance cannot reach, at
+// most limit of them.
+func (m *Machine) UnreachableEndpoints(now time.Time, service string, limit int) []EndpointID {
 	var out []EndpointID
 	for _, e := range m.service(service).endpoints {
-		if now.Before(e.reach.until) && len(out) < most {
+		if now.Before(e.reach.backoffUntil) && len(out) < limit {
 			out = append(out, e.ID)
 		}
 	}
 	return out
 }
 
-// Endpoint returns an endpoint that takes work; ok is false where there is none of that ID.
+// Endpoint returns the endpoint with an ID; ok is false if there is none or it is draining.
 func (m *Machine) Endpoint(id EndpointID) (_ Endpoint, ok bool) {
 	e := m.endpoints[id]
 	if e == nil || e.Draining {
@@ -240,16 +240,16 @@
 	return e.Endpoint, true
 }
 
-// Overdue takes in that a granted request has had no answer for many times the usual time.
+// Overdue records that a granted request has had no response for many times the baseline latency.
 func (m *Machine) Overdue(now time.Time, id EndpointID) {
 	if e := m.endpoints[id]; e != nil {
-		m.learn(now, e, Overdue, 0)
-		m.report(e, Overdue, 0)
+		m.observe(now, e, Overdue, 0)
+		m.addEvent(e, Overdue, 0)
 	}
 }
 
-// learn updates what is known of an endpoint.
-func (m *Machine) learn(now time.Time, e *tracked, kind EventKind, took time.Duration) {
+// observe updates an endpoint's health estimate and latency, and its service's.
+func (m *Machine) observe(now time.Time, e *endpointState, kind EventKind, latency time.Duration) {
 	outcome, ok := outcomes[kind]
 	if !ok {
 		return
@@ -259,50 +259,51 @@
 	switch kind {
 	case EndedServed:
 		s.recent.Add(now, false)
-		e.took.add(took)
-		s.took.add(took)
+		e.latency.add(latency)
+		s.latency.add(latency)
 	case EndedFailed, EndedBroken:
 		s.recent.Add(now, true)
-		e.failed = now
+		e.lastFailed = now
 	}
 }
 
-// HandleReport takes in what another instance tells, and whether that one HasFullRetryWindow.
-func (m *Machine) HandleReport(now time.Time, from PeerID, seasoned bool, events []Event) {
-	m.heard[from] = heard{at: now, seasoned: seasoned}
+// HandleReport applies the report of another instance. fullWindow is the sender's HasFullRetryWindow.
+func (m *Machine) HandleReport(now time.Time, from PeerID, fullWindow bool, events []Event) {
+	m.peerStates[from] = peerState{reportedAt: now, fullWindow: fullWindow}
 	for _, ev := range events {
 		e := m.endpoints[ev.Endpoint]
 		if e == nil {
 			continue
 		}
-		e.setPeer(from, max(ev.InFlight, 0))
+		e.setPeerInFlight(from, max(ev.InFlight, 0))
 		switch ev.Kind {
 		case Started, Retried:
-			e.used = now
+			e.lastUsed = now
 			m.service(e.Service).budget.Sent(now, ev.Kind == Retried)
 		default:
-			m.learn(now, e, ev.Kind, time.Duration(ev.LatencyMillis)*time.Millisecond)
+			m.observe(now, e, ev.Kind, time.Duration(ev.LatencyMillis)*time.Millisecond)
 		}
 	}
 }
 
-// ExpirePeers drops what peers that have been silent for long, or are gone, had in flight.
+// ExpirePeers drops the requests in flight of peers that have been silent for PeerTimeout. While
+// less than half of the peers report, retries go uncounted, and the retry window starts anew.
 func (m *Machine) ExpirePeers(now time.Time) {
-	if 2*m.heardNow(now) < m.peers {
-		m.blind = now
+	if 2*m.livePeers(now) < m.peerCount {
+		m.countingSince = now
 	}
-	for p, h := range m.heard {
-		if now.Sub(h.at) < m.cfg.PeerTimeout {
+	for id, p := range m.peerStates {
+		if now.Sub(p.reportedAt) < m.cfg.PeerTimeout {
 			continue
 		}
-		delete(m.heard, p)
+		delete(m.peerStates, id)
 		for _, e := range m.endpoints {
-			e.setPeer(p, 0)
+			e.setPeerInFlight(id, 0)
 		}
 	}
 }
 
-// Chance returns the estimated chance that an endpoint serves the next request; 0 where it is not known.
+// Chance returns the estimated chance that an endpoint serves the next request; 0 if there is no such endpoint.
 func (m *Machine) Chance(now time.Time, id EndpointID) float64 {
 	if e := m.endpoints[id]; e != nil {
 		return e.estimate.At(m.cfg.HealthModel, now)
--- a/coord/dispatch/machine_test.go
+++ b/coord/dispatch/machine_test.go
@@ -40,31 +40,31 @@
 	return m
 }
 
-func ask(now time.Time) Request {
+func request(now time.Time) Request {
 	return Request{Service: "orders", Objective: now.Add(1200 * time.Millisecond), Deadline: now.Add(5 * time.Second)}
 }
 
-// grant asks once and returns the endpoint granted.
-func grant(t *testing.T, m *Machine, now time.Time) Endpoint {
+// acquire places one request and returns its endpoint.
+func acquire(t *testing.T, m *Machine, now time.Time) Endpoint {
 	t.Helper()
-	g, rejection := m.Acquire(now, ask(now))
+	g, rejection := m.Acquire(now, request(now))
 	if rejection != nil {
-		t.Fatalf("turned away: %+v", rejection)
+		t.Fatalf("rejected: %+v", rejection)
 	}
 	return g.Endpoint
 }
 
-func TestAFailureSeenAnywhereKeepsWorkAway(t *testing.T) {
+func TestReportedFailureAvoidsEndpoint(t *testing.T) {
 	m := newMachine(endpoints(3))
 	m.HandleReport(start, 7, true, []Event{{Endpoint: 1, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 2, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 3, Kind: EndedFailed, LatencyMillis: 3}})
 	for i := range 8 {
-		if got := grant(t, m, start); got.ID == 3 {
+		if got := acquire(t, m, start); got.ID == 3 {
 			t.Errorf("request %d goes to the endpoint that has just failed", i)
 		}
 	}
 }
 
-func TestOthersWorkCountsAsLoad(t *testing.T) {
+func TestPeerRequestsInFlightCountAsLoad(t *testing.T) {
 	list := endpoints(2)
 	list[1].Zone = list[0].Zone
 	m := newMachine(list)
@@ -73,13 +73,13 @@
 	}
 	m.HandleReport(start, 7, true, []Event{{Endpoint: 1, InFlight: 4, Kind: Started}})
 	for i := range 4 {
-		if got := grant(t, m, start); got.ID != 2 {
+		if got := acquire(t, m, start); got.ID != 2 {
 			t.Errorf("request %d goes to the endpoint that another instance has filled", i)
 		}
 	}
 }
 
-func TestAnotherLifeUnderTheSameIDStartsUnknown(t *testing.T) {
+func TestNewIncarnationStartsWithoutHistory(t *testing.T) {
 	list := endpoints(1)
 	m := newMachine(list)
 	m.HandleReport(start, 7, true, []Event{{Endpoint: 1, InFlight: 3, Kind: EndedFailed}})
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestASilentPeersWorkIsForgotten(t *testing.T) {
+func TestSilentPeerRequestsInFlightExpire(t *testing.T) {
 	m := newMachine(endpoints(1))
 	m.HandleReport(start, 7, true, []Event{{Endpoint: 1, InFlight: 4, Kind: Started}})
 	m.ExpirePeers(start.Add(testConfig.PeerTimeout))
@@ -99,19 +99,19 @@
 	}
 }
 
-func TestAnEndpointThatCannotBeReachedFromHereIsLeftToOthers(t *testing.T) {
+func TestUnreachableEndpointBacksOff(t *testing.T) {
 	m := newMachine(endpoints(2))
-	first := grant(t, m, start)
+	first := acquire(t, m, start)
 	m.SendFailed(start, first.ID)
 	for i := range 3 {
-		if got := grant(t, m, start); got.ID == first.ID {
+		if got := acquire(t, m, start); got.ID == first.ID {
 			t.Errorf("request %d goes to the endpoint that could not be reached", 2+i)
 		}
 	}
-	later := start.Add(reachHoldMax)
+	later := start.Add(maxReachBackoff)
 	found := false
 	for range 20 {
-		got := grant(t, m, later)
+		got := acquire(t, m, later)
 		found = found || got.ID == first.ID
 		m.Ended(later, got.ID, EndedServed, 300*time.Millisecond)
 	}
@@ -120,39 +120,40 @@
 	}
 }
 
-func TestNoEndpointIsARejectionWithATimeToComeBack(t *testing.T) {
+func TestNoEndpointSetsRetryAfter(t *testing.T) {
 	list := endpoints(2)
 	for i := range list {
 		list[i].Draining = true
 	}
 	m := newMachine(list)
-	_, r := m.Acquire(start, ask(start))
+	_, r := m.Acquire(start, request(start))
 	if r == nil || r.Reason != NoEndpoint || r.RetryAfter <= 0 {
 		t.Errorf("got %+v", r)
 	}
 }
 
-// The load that it answers: each instance is asked on a route that was just added, all at
-// once and with a second to answer. Their work is short; a queue is no reason to turn them away.
-func TestABurstOnOneServiceIsNotTurnedAwayOnAnEstimate(t *testing.T) {
+// Each instance gets a request on a route that was just added, all at once and with a deadline
+// of one second. The requests are short: they must queue rather than be rejected because of the
+// latency estimate.
+func TestBurstIsNotRejectedOnEstimate(t *testing.T) {
 	m := newMachine(endpoints(6))
 	for id := EndpointID(1); id <= 6; id++ {
 		m.HandleReport(start, 7, true, []Event{{Endpoint: id, Kind: EndedServed, LatencyMillis: 300}})
 	}
 	for i := range 44 {
-		a := ask(start)
-		a.Objective, a.Deadline = start.Add(time.Second), start.Add(time.Second)
-		if _, r := m.Acquire(start, a); r != nil {
-			t.Fatalf("request %d of 44 on 24 slots is turned away: %+v", i, r)
+		req := request(start)
+		req.Objective, req.Deadline = start.Add(time.Second), start.Add(time.Second)
+		if _, r := m.Acquire(start, req); r != nil {
+			t.Fatalf("request %d of 44 on 24 slots is rejected: %+v", i, r)
 		}
 	}
 }
 
-func TestWorkThatCannotMeetItsDeadlineIsTurnedAwayAtOnce(t *testing.T) {
+func TestRequestThatCannotMeetItsDeadlineIsRejected(t *testing.T) {
 	m := newMachine(endpoints(1))
 	rejected := false
 	for i := range 200 {
-		_, r := m.Acquire(start, ask(start))
+		_, r := m.Acquire(start, request(start))
 		if r == nil {
 			continue
 		}
@@ -166,13 +167,13 @@
 	}
 }
 
-func TestRepeatsStopWithTheBudget(t *testing.T) {
+func TestRetriesStopAtTheBudget(t *testing.T) {
 	m := newMachine(endpoints(30))
 	granted := 0
 	for i := range 200 {
-		a := ask(start)
-		a.Retry = true
-		_, r := m.Acquire(start, a)
+		req := request(start)
+		req.Retry = true
+		_, r := m.Acquire(start, req)
 		switch {
 		case r == nil:
 			granted++
@@ -181,84 +182,85 @@
 		}
 	}
 	if granted == 0 || float64(granted) > testConfig.RetryBound.Extra {
-		t.Errorf("%d repeats without a first request, bound %g", granted, testConfig.RetryBound.Extra)
+		t.Errorf("%d retries without a first request, bound %g", granted, testConfig.RetryBound.Extra)
 	}
 }
 
-// The load that it answers: half of the instances are killed while a service fails. Those
-// that stay go on spending the budget; the others do not know what was spent.
-func TestAnInstanceThatHasJustStartedLeavesRepeatsToOthers(t *testing.T) {
-	repeat := ask(start)
-	repeat.Retry = true
+// Half of the instances are killed while a service fails. The survivors go on spending the
+// retry budget; restarted instances, which have not counted what was spent, must not add to it.
+func TestStartedInstanceLeavesRetriesToPeers(t *testing.T) {
+	retry := request(start)
+	retry.Retry = true
 	m := New(testConfig, start, rand.NewPCG(1, 2))
 	m.SetEndpoints(start, endpoints(9))
 	for range 100 {
-		if _, r := m.Acquire(start, ask(start)); r != nil {
-			t.Fatalf("turned away: %+v", r)
+		if _, r := m.Acquire(start, request(start)); r != nil {
+			t.Fatalf("rejected: %+v", r)
 		}
 	}
-	if _, r := m.Acquire(start, repeat); r != nil {
-		t.Errorf("alone it may repeat within the share of what it has seen: %+v", r)
+	if _, r := m.Acquire(start, retry); r != nil {
+		t.Errorf("without peers, within its share of the counted requests: %+v", r)
 	}
 	m.HandleReport(start, 7, false, nil)
-	if _, r := m.Acquire(start, repeat); r != nil {
-		t.Errorf("beside another that has just started: %+v", r)
+	if _, r := m.Acquire(start, retry); r != nil {
+		t.Errorf("with a peer that has just started too: %+v", r)
 	}
 	m.HandleReport(start, 8, true, nil)
-	if _, r := m.Acquire(start, repeat); r == nil || r.Reason != RetryBudgetExhausted {
-		t.Errorf("beside one that has counted for a window: %+v", r)
+	if _, r := m.Acquire(start, retry); r == nil || r.Reason != RetryBudgetExhausted {
+		t.Errorf("with a peer that has counted for a whole window: %+v", r)
 	}
 }
 
-// The load that it answers: a third of the instances are cut off while a service fails. On
-// both sides the budget is spent, and a side knows nothing of the other's.
-func TestACutShrinksTheBudgetAtOnceAndForAWindowAfter(t *testing.T) {
-	repeat := ask(start)
-	repeat.Retry = true
+// A third of the instances are partitioned off while a service fails. Both sides spend the
+// retry budget without the counts of the other, so that an instance may spend only its own share
+// during the partition, and leaves retries to its peers for a whole window after it.
+func TestPartitionShrinksTheRetryBudget(t *testing.T) {
+	retry := request(start)
+	retry.Retry = true
 	m := newMachine(endpoints(40))
 	m.SetPeers(map[string]int{"a": 10, "b": 20})
-	hearAll := func(at time.Time) {
+	reportAll := func(at time.Time) {
 		for p := range PeerID(30) {
 			m.HandleReport(at, p, true, nil)
 		}
 	}
-	hearAll(start)
-	cut := start.Add(2 * time.Second)
-	m.ExpirePeers(cut)
+	reportAll(start)
+	partition := start.Add(2 * time.Second)
+	m.ExpirePeers(partition)
 	granted := 0
 	for range 60 {
-		if _, r := m.Acquire(cut, repeat); r == nil {
+		if _, r := m.Acquire(partition, retry); r == nil {
 			granted++
 		}
 	}
 	if most := int(testConfig.RetryBound.Extra/30) + 1; granted > most {
-		t.Errorf("%d repeats while 30 others are silent for 2 s, its own share is %d", granted, most)
+		t.Errorf("%d retries while 30 peers are silent for 2 s, its own share is %d", granted, most)
 	}
-	back := cut.Add(time.Second)
-	hearAll(back)
+	back := partition.Add(time.Second)
+	reportAll(back)
 	m.ExpirePeers(back)
-	if _, r := m.Acquire(back, repeat); r == nil {
-		t.Error("it repeats just after the cut, beside others that know what was spent")
-	}
-	later := cut.Add(testConfig.RetryBound.Window)
-	hearAll(later)
-	repeat = ask(later)
-	repeat.Retry = true
-	if _, r := m.Acquire(later, repeat); r != nil {
+	if _, r := m.Acquire(back, retry); r == nil {
+		t.Error("a retry is granted just after the partition, though peers have counted for a whole window")
+	}
+	later := partition.Add(testConfig.RetryBound.Window)
+	reportAll(later)
+	retry = request(later)
+	retry.Retry = true
+	if _, r := m.Acquire(later, retry); r != nil {
 		t.Errorf("a window later: %+v", r)
 	}
 }
 
-// The load that it answers: few endpoints would do for the traffic, but when instances are
-// lost their requests count as unserved, and most sound endpoints must have been in use.
-func TestSoundEndpointsStayInUse(t *testing.T) {
+// Few endpoints would suffice for the traffic. But when instances fail, their requests count as
+// unserved, and most healthy endpoints must have been in use by then.
+func TestHealthyEndpointsStayInUse(t *testing.T) {
 	m := newMachine(endpoints(19))
 	lastUsed := make(map[EndpointID]time.Time)
 	failing := map[EndpointID]bool{3: true, 8: true, 11: true, 17: true}
 	now := start
 	for range 1500 {
 		now = now.Add(13 * time.Millisecond)
-		got := grant(t, m, now)
+		got := acquire(t, m, now)
 		lastUsed[got.ID] = now
 		kind := EndedServed
 		if failing[got.ID] {
@@ -274,23 +276,23 @@
 				used++
 			}
 		}
-		if sound := 19 - len(failing); float64(used) < 0.7*float64(sound) {
-			t.Fatalf("at %s only %d of %d sound endpoints were used within 2 s", now.Sub(start), used, sound)
+		if healthy := 19 - len(failing); float64(used) < 0.7*float64(healthy) {
+			t.Fatalf("at %s only %d of %d healthy endpoints were used within 2 s", now.Sub(start), used, healthy)
 		}
 	}
 }
 
-// The load that it answers: of many endpoints a third fail in long spells. If all of those
-// were tried whenever they have rested, a tenth of the orders would go unserved for that
-// alone. Most endpoints are in use when the users look, and the failing ones are left alone.
+// A third of many endpoints fail for long periods. If each were tried whenever its backoff is
+// over, a tenth of the orders would go unserved for that alone. They are tried only if otherwise
+// too few endpoints are in use.
 func TestFailingEndpointsAreTriedOnlyWhileTooFewAreInUse(t *testing.T) {
 	const all, failing = 60, 22
-	const judged = 2 * time.Second // The users' span.
+	const inUseFor = 2 * time.Second // An endpoint counts as in use that long after a request.
 	m := newMachine(endpoints(all))
 	used, failed := make(map[EndpointID]time.Time), make(map[EndpointID]time.Time)
 	within := func(at map[EndpointID]time.Time, now time.Time) (n int) {
 		for _, t := range at {
-			if now.Sub(t) < judged {
+			if now.Sub(t) < inUseFor {
 				n++
 			}
 		}
@@ -299,7 +301,7 @@
 	var ends []bool // Unserved, one each step.
 	const step = 8 * time.Millisecond
 	for now := start; now.Sub(start) < 20*time.Second; now = now.Add(step) {
-		got := grant(t, m, now)
+		got := acquire(t, m, now)
 		used[got.ID] = now
 		kind := EndedServed
 		if got.ID <= failing {
@@ -308,16 +310,16 @@
 		}
 		m.Ended(now, got.ID, kind, 300*time.Millisecond)
 		ends = append(ends, kind == EndedFailed)
-		last := ends[max(0, len(ends)-int(judged/step)):]
+		last := ends[max(0, len(ends)-int(inUseFor/step)):]
 		unserved := 0
 		for _, u := range last {
 			if u {
 				unserved++
 			}
 		}
-		sound, inUse := all-within(failed, now), within(used, now)-within(failed, now)
-		if now.Sub(start) > judged && 10*unserved > len(last) && float64(inUse) < testConfig.FloorShare*float64(sound) {
-			t.Fatalf("at %s only %d of %d endpoints are in use, %d of %d requests unserved", now.Sub(start), inUse, sound, unserved, len(last))
+		healthy, inUse := all-within(failed, now), within(used, now)-within(failed, now)
+		if now.Sub(start) > inUseFor && 10*unserved > len(last) && float64(inUse) < testConfig.FloorShare*float64(healthy) {
+			t.Fatalf("at %s only %d of %d endpoints are in use, %d of %d requests unserved", now.Sub(start), inUse, healthy, unserved, len(last))
 		}
 	}
 	unserved := 0
@@ -326,56 +328,56 @@
 			unserved++
 		}
 	}
-	// A failing endpoint's chance is fair again after six seconds; it is tried about then.
+	// The estimate of a failing endpoint recovers after six seconds; it is tried about then.
 	if most := failing * 16 / 5; unserved > most {
 		t.Errorf("%d orders went to failing endpoints in 16 s, want at most %d", unserved, most)
 	}
 }
 
-// The load that it answers: a burst while a third of the endpoints fail. However crowded the
-// sound ones are, an order is not sent where it fails for certain.
+// A burst comes while a third of the endpoints fail. However loaded the healthy ones are, an
+// order is not sent to an endpoint where it almost certainly fails.
 func TestCrowdedEndpointsGoBeforeFailingOnes(t *testing.T) {
 	m := newMachine(endpoints(9))
 	for id := EndpointID(1); id <= 9; id++ {
-		kind, took := EndedServed, 240
+		kind, latency := EndedServed, 240
 		if id <= 3 {
-			kind, took = EndedFailed, 3
+			kind, latency = EndedFailed, 3
 		}
-		m.HandleReport(start, 7, true, []Event{{Endpoint: id, Kind: kind, LatencyMillis: took}, {Endpoint: id, Kind: kind, LatencyMillis: took}})
+		m.HandleReport(start, 7, true, []Event{{Endpoint: id, Kind: kind, LatencyMillis: latency}, {Endpoint: id, Kind: kind, LatencyMillis: latency}})
 	}
-	turnedAway := 0
+	rejected := 0
 	for i := range 400 {
-		a := ask(start)
-		a.Objective, a.Deadline = start.Add(time.Second), start.Add(2*time.Second)
-		g, r := m.Acquire(start, a)
+		req := request(start)
+		req.Objective, req.Deadline = start.Add(time.Second), start.Add(2*time.Second)
+		g, r := m.Acquire(start, req)
 		switch {
 		case r != nil:
-			turnedAway++
-		case g.Chance < lostChance:
+			rejected++
+		case g.Chance < minSuccessChance:
 			t.Fatalf("order %d goes to %s with a chance of %.2f", i, g.Endpoint.Name, g.Chance)
 		}
 	}
-	if turnedAway == 0 {
-		t.Error("400 orders with 2 s each are all queued on 24 slots")
+	if rejected == 0 {
+		t.Error("400 orders with deadlines of 2 s are all queued on 24 slots")
 	}
 }
 
-// The load that it answers: lookups and orders share a service. A lookup that fails is sent
-// elsewhere, an order that fails is lost, so lookups find out which endpoints are back.
-func TestIdempotentRequestsTryEndpointsFirst(t *testing.T) {
+// Lookups (idempotent) and orders share a service. A lookup that fails is retried elsewhere, an
+// order that fails is lost: so lookups have to probe which endpoints have recovered.
+func TestIdempotentRequestsProbeEndpoints(t *testing.T) {
 	m := newMachine(endpoints(8))
 	now := start
 	trials := map[bool]int{}
 	for i := range 3000 {
 		now = now.Add(20 * time.Millisecond)
-		a := ask(now)
-		a.Idempotent = i%2 == 0
-		g, r := m.Acquire(now, a)
+		req := request(now)
+		req.Idempotent = i%2 == 0
+		g, r := m.Acquire(now, req)
 		if r != nil {
 			t.Fatalf("request %d: %+v", i, r)
 		}
 		if g.Chance < 0.8 {
-			trials[a.Idempotent]++
+			trials[req.Idempotent]++
 		}
 		kind := EndedServed
 		if g.Endpoint.ID <= 2 {
@@ -388,8 +390,8 @@
 	}
 }
 
-// The load that it answers: most endpoints of a service fail, the others are busy, and its
-// lookups have spent the retry budget. A lookup that fails is lost then, and waits instead.
+// Most endpoints of a service fail, the others are busy, and its lookups have spent the retry
+// budget. A lookup that fails would be lost, so it queues at a healthy endpoint instead.
 func TestLookupsWithoutASecondTryAreNotSpentOnFailingEndpoints(t *testing.T) {
 	m := newMachine(endpoints(9))
 	for id := EndpointID(1); id <= 9; id++ {
@@ -403,45 +405,46 @@
 		m.HandleReport(start, 7, true, []Event{{Endpoint: 9, Kind: Retried}})
 	}
 	for i := range 60 {
-		a := ask(start)
-		a.Idempotent = true
-		if g, r := m.Acquire(start, a); r != nil || g.Chance < 0.5 {
-			t.Fatalf("lookup %d of 60 on 12 sound slots: %+v, %+v", i, g, r)
+		req := request(start)
+		req.Idempotent = true
+		if g, r := m.Acquire(start, req); r != nil || g.Chance < 0.5 {
+			t.Fatalf("lookup %d of 60 on 12 healthy slots: %+v, %+v", i, g, r)
 		}
 	}
 }
 
-// What the others must know at once does not wait to be told together with other events.
-func TestFailuresTrialsAndRepeatsAreUrgent(t *testing.T) {
+// Events that peers must have at once are not delayed to be batched with others.
+func TestFailuresTrialsAndRetriesAreUrgent(t *testing.T) {
 	m := newMachine(endpoints(2))
 	urgent := func() bool { _, urgent := m.TakeReports(); return urgent }
-	trial := grant(t, m, start)
+	trial := acquire(t, m, start)
 	if !urgent() {
-		t.Error("a trial of an endpoint of which nothing is known can wait")
+		t.Error("a trial of an endpoint without history is not urgent")
 	}
 	m.Ended(start, trial.ID, EndedFailed, 0)
 	if !urgent() {
-		t.Error("a failure can wait")
+		t.Error("a failure is not urgent")
 	}
 	for id := EndpointID(1); id <= 2; id++ {
 		for range 3 {
 			m.HandleReport(start, 7, true, []Event{{Endpoint: id, Kind: EndedServed, LatencyMillis: 300}})
 		}
 	}
-	usual := grant(t, m, start)
-	m.Ended(start, usual.ID, EndedServed, 300*time.Millisecond)
+	served := acquire(t, m, start)
+	m.Ended(start, served.ID, EndedServed, 300*time.Millisecond)
 	if urgent() {
-		t.Error("a request that is served as usual cannot wait")
+		t.Error("a served request at a healthy endpoint is urgent")
 	}
-	repeat := ask(start)
-	repeat.Retry = true
-	if _, r := m.Acquire(start, repeat); r != nil || !urgent() {
-		t.Errorf("a repeat can wait, or is turned away: %+v", r)
+	retry := request(start)
+	retry.Retry = true
+	if _, r := m.Acquire(start, retry); r != nil || !urgent() {
+		t.Errorf("a retry is not urgent, or is rejected: %+v", r)
 	}
 }
 
-// Whatever comes, no request goes where it must not, and what is in flight adds up.
-func TestGrantsAndCountsHoldWhateverComes(t *testing.T) {
+// In any sequence of calls no request goes to an endpoint that it tried or that is draining, and
+// an endpoint's requests in flight are the sum over all instances.
+func TestGrantAndInFlightInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(testConfig, start.Add(-testConfig.RetryBound.Window), rand.NewPCG(3, 4))
 		list := endpoints(rapid.IntRange(0, 8).Draw(t, "endpoints"))
@@ -452,20 +455,20 @@
 			now = now.Add(time.Duration(rapid.Int64Range(0, 4e8).Draw(t, "gap")))
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
-				a := ask(now)
-				a.Retry, a.Idempotent, a.Hedge = rapid.Bool().Draw(t, "repeat"), rapid.Bool().Draw(t, "idempotent"), rapid.Bool().Draw(t, "hedge")
+				req := request(now)
+				req.Retry, req.Idempotent, req.Hedge = rapid.Bool().Draw(t, "retry"), rapid.Bool().Draw(t, "idempotent"), rapid.Bool().Draw(t, "hedge")
 				for _, e := range list {
 					if rapid.IntRange(0, 5).Draw(t, "tried") == 0 {
-						a.Tried = append(a.Tried, e.ID)
+						req.Tried = append(req.Tried, e.ID)
 					}
 				}
-				g, r := m.Acquire(now, a)
+				g, r := m.Acquire(now, req)
 				if r != nil {
 					continue
 				}
 				open = append(open, g.Endpoint.ID)
-				if slices.Contains(a.Tried, g.Endpoint.ID) || g.Endpoint.Draining {
-					t.Fatalf("a request that tried %v goes to %+v", a.Tried, g.Endpoint)
+				if slices.Contains(req.Tried, g.Endpoint.ID) || g.Endpoint.Draining {
+					t.Fatalf("a request that tried %v goes to %+v", req.Tried, g.Endpoint)
 				}
 			case 2:
 				if len(open) > 0 {
@@ -478,11 +481,11 @@
 					open = open[1:]
 				}
 			case 4:
-				m.HandleReport(now, PeerID(rapid.Uint64Range(1, 4).Draw(t, "peer")), rapid.Bool().Draw(t, "seasoned"), []Event{{
+				m.HandleReport(now, PeerID(rapid.Uint64Range(1, 4).Draw(t, "peer")), rapid.Bool().Draw(t, "full window"), []Event{{
 					Endpoint:      EndpointID(rapid.Uint32Range(0, 9).Draw(t, "endpoint")),
 					InFlight:      rapid.IntRange(-1, 9).Draw(t, "in flight"),
 					Kind:          EventKind(rapid.IntRange(0, 9).Draw(t, "kind")),
-					LatencyMillis: rapid.IntRange(0, 9000).Draw(t, "took"),
+					LatencyMillis: rapid.IntRange(0, 9000).Draw(t, "latency"),
 				}})
 			case 5:
 				for i := range list {
@@ -494,60 +497,60 @@
 		}
 		for _, e := range m.endpoints {
 			sum := e.own
-			for _, n := range e.peers {
+			for _, n := range e.peerInFlight {
 				sum += n
 			}
 			if sum != e.inFlight || e.own < 0 {
-				t.Fatalf("%s: %d in flight, own and peers' sum is %d", e.Name, e.inFlight, sum)
+				t.Fatalf("%s: %d in flight, the sum over own and peers is %d", e.Name, e.inFlight, sum)
 			}
 		}
 	})
 }
 
-// The load that it answers: three zones ask for lookups, orders and, one request in ten,
-// downloads of 90 kB. Downloads cross to another zone only where the own one has no sound
-// endpoint with a slot; lookups go where they need not wait.
-func TestLargeAnswersStayInTheirZone(t *testing.T) {
+// Three zones send lookups, orders and, one request in ten, downloads of 90 kB. Downloads cross to
+// another zone only if their own has no healthy endpoint that responds in time; lookups go where
+// they need not queue.
+func TestLargeResponsesStayInTheirZone(t *testing.T) {
 	const own = EndpointID(1) // Of zone a; 2 is of b, 3 of c.
-	download := ask(start)
+	download := request(start)
 	download.Idempotent = true
-	lookup := ask(start)
+	lookup := request(start)
 	lookup.Idempotent = true
 	var served []Event
 	for id := own; id <= 3; id++ {
 		served = append(served, Event{Endpoint: id, Kind: Started, InFlight: 1}, Event{Endpoint: id, Kind: EndedServed, LatencyMillis: 300})
 	}
 	for name, tc := range map[string]struct {
-		ask    Request
-		answer int // Bytes of the answers seen; 0 for none.
-		large  bool
-		events []Event // Besides a success of each endpoint.
-		local  bool
+		request       Request
+		responseBytes int // Size of earlier responses; 0 for none.
+		large         bool
+		events        []Event // In addition to a success of each endpoint.
+		local         bool
 	}{
-		"free":                             {download, 90 << 10, false, nil, true},
-		"half full":                        {download, 90 << 10, false, []Event{{Endpoint: own, InFlight: 3, Kind: Started}}, true},
-		"large by its kind alone":          {download, 0, true, []Event{{Endpoint: own, InFlight: 3, Kind: Started}}, true},
-		"a short queue":                    {download, 90 << 10, false, []Event{{Endpoint: own, InFlight: 5, Kind: Started}}, true},
-		"too late in the own queue":        {download, 90 << 10, false, []Event{{Endpoint: own, InFlight: 16, Kind: Started}}, false},
-		"failing here":                     {download, 90 << 10, false, []Event{{Endpoint: own, Kind: EndedFailed}, {Endpoint: own, Kind: EndedFailed}}, false},
-		"a lookup waits for no zone":       {lookup, 400, false, []Event{{Endpoint: own, InFlight: 5, Kind: Started}}, false},
-		"a lookup, free":                   {lookup, 400, false, nil, true},
-		"a large class with small answers": {download, 400, true, []Event{{Endpoint: own, InFlight: 5, Kind: Started}}, false},
+		"free":                               {download, 90 << 10, false, nil, true},
+		"half full":                          {download, 90 << 10, false, []Event{{Endpoint: own, InFlight: 3, Kind: Started}}, true},
+		"large by its route kind alone":      {download, 0, true, []Event{{Endpoint: own, InFlight: 3, Kind: Started}}, true},
+		"a short queue":                      {download, 90 << 10, false, []Event{{Endpoint: own, InFlight: 5, Kind: Started}}, true},
+		"too long a queue in the own zone":   {download, 90 << 10, false, []Event{{Endpoint: own, InFlight: 16, Kind: Started}}, false},
+		"failing in the own zone":            {download, 90 << 10, false, []Event{{Endpoint: own, Kind: EndedFailed}, {Endpoint: own, Kind: EndedFailed}}, false},
+		"a lookup does not queue":            {lookup, 400, false, []Event{{Endpoint: own, InFlight: 5, Kind: Started}}, false},
+		"a lookup, free":                     {lookup, 400, false, nil, true},
+		"a large class with small responses": {download, 400, true, []Event{{Endpoint: own, InFlight: 5, Kind: Started}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newMachine(endpoints(3))
 			m.SetPeers(map[string]int{"a": 5, "b": 5, "c": 5})
 			m.HandleReport(start, 7, true, served)
 			m.HandleReport(start, 7, true, tc.events)
-			if tc.answer > 0 {
+			if tc.responseBytes > 0 {
 				for range 3 {
-					m.RecordResponseSize("class", tc.answer)
+					m.RecordResponseSize("class", tc.responseBytes)
 				}
 			}
-			tc.ask.CrossZoneCost = m.CrossZoneCost("class", tc.large)
-			g, rejection := m.Acquire(start, tc.ask)
+			tc.request.CrossZoneCost = m.CrossZoneCost("class", tc.large)
+			g, rejection := m.Acquire(start, tc.request)
 			if rejection != nil {
-				t.Fatalf("turned away: %+v", rejection)
+				t.Fatalf("rejected: %+v", rejection)
 			}
 			if local := g.Endpoint.ID == own; local != tc.local {
 				t.Errorf("goes to endpoint %d", g.Endpoint.ID)
@@ -556,39 +559,39 @@
 	}
 }
 
-// The load that it answers: each zone's instances look at every endpoint that was not used
-// for long, so that most downloads crossed between zones for nothing else. The zone's own
-// instances look; where there are none, others do.
-func TestEndpointsOfAnotherZoneAreLeftToItsInstances(t *testing.T) {
-	for name, peers := range map[string]map[string]int{"instances everywhere": {"b": 4, "c": 4}, "nobody in c": {"b": 4}} {
+// If the instances of every zone probed each endpoint that was unused for long, most downloads
+// would cross between zones for that alone. A zone's own instances probe its endpoints; only if
+// there are none do others.
+func TestOtherZoneEndpointsAreLeftToTheirInstances(t *testing.T) {
+	for name, peers := range map[string]map[string]int{"instances in all zones": {"b": 4, "c": 4}, "no instances in c": {"b": 4}} {
 		m := newMachine(endpoints(3))
 		m.SetPeers(peers)
-		at := start.Add(testEvery)
+		at := start.Add(probeInterval)
 		m.HandleReport(at, 7, true, []Event{{Endpoint: 1, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 1, Kind: Started, InFlight: 1}})
 		m.HandleReport(at, 7, true, []Event{{Endpoint: 2, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 2, Kind: Started, InFlight: 1}})
 		m.HandleReport(start, 7, true, []Event{{Endpoint: 3, Kind: EndedServed, LatencyMillis: 300}, {Endpoint: 3, Kind: Started}})
-		a := ask(at)
-		a.Idempotent = true
-		g, rejection := m.Acquire(at, a)
+		req := request(at)
+		req.Idempotent = true
+		g, rejection := m.Acquire(at, req)
 		if rejection != nil {
-			t.Fatalf("%s: turned away: %+v", name, rejection)
+			t.Fatalf("%s: rejected: %+v", name, rejection)
 		}
-		if looks := g.Endpoint.ID == 3; looks != (peers["c"] == 0) {
+		if probes := g.Endpoint.ID == 3; probes != (peers["c"] == 0) {
 			t.Errorf("%s: goes to endpoint %d", name, g.Endpoint.ID)
 		}
 	}
 }
 
-// The load that it answers: a service of hundreds of endpoints whose every endpoint that had
-// rested was tried by an order, so that most orders tried an endpoint out and a tenth failed.
-// Enough are in use by themselves: only lookups look at those that rest.
-func TestOrdersTryNothingOutWhileEnoughIsInUse(t *testing.T) {
+// In a service of hundreds of endpoints, orders tried each endpoint that had been unused for an
+// interval, so that most orders were trials and a tenth failed. While enough endpoints are in use
+// anyway, only lookups probe the unused ones.
+func TestOrdersDoNotProbeWhileEnoughAreInUse(t *testing.T) {
 	const all, unused = 40, 8
-	now := start.Add(2 * coverEvery)
+	now := start.Add(2 * useInterval)
 	for name, tc := range map[string]struct {
 		used       int
 		idempotent bool
-		looks      bool
+		probes     bool
 	}{
 		"order, enough in use":  {all - unused, false, false},
 		"order, too few in use": {all / 2, false, true},
@@ -606,13 +609,13 @@
 			}
 			m.HandleReport(at, 7, true, []Event{{Endpoint: id, Kind: Started, InFlight: 1}, {Endpoint: id, Kind: EndedServed, LatencyMillis: 300}})
 		}
-		a := ask(now)
-		a.Idempotent = tc.idempotent
-		g, rejection := m.Acquire(now, a)
+		req := request(now)
+		req.Idempotent = tc.idempotent
+		g, rejection := m.Acquire(now, req)
 		if rejection != nil {
-			t.Fatalf("%s: turned away: %+v", name, rejection)
+			t.Fatalf("%s: rejected: %+v", name, rejection)
 		}
-		if looks := int(g.Endpoint.ID) > tc.used; looks != tc.looks {
+		if probes := int(g.Endpoint.ID) > tc.used; probes != tc.probes {
 			t.Errorf("%s: goes to endpoint %d", name, g.Endpoint.ID)
 		}
 	}
--- a/coord/dispatch/selection.go
+++ b/coord/dispatch/selection.go
@@ -6,213 +6,218 @@
 	"time"
 )
 
-// Weights of the choice between endpoints, in parts of one request's credit.
+// Weights of an endpoint's score, in parts of one request's credit.
 const (
-	// lateCredit is what an answer after the objective is worth to a caller.
+	// lateCredit is the credit of a response that comes after the objective.
 	lateCredit = 0.5
-	// crowdCost prefers the emptier among equals; endpoints slow down when nearly full.
-	crowdCost = 0.015
-	// waitCost is taken off for each usual time that a request would wait for a slot.
-	waitCost = 0.05
-	// secondChance is the chance that a request is served by a second try, where it may have one.
-	secondChance = 0.7
-	// unusedBonus brings a first request to an endpoint that joined.
-	unusedBonus = 0.3
-	// jitter keeps instances with the same view from choosing alike.
-	jitter = 0.004
-	// unprovenChance is the chance under which an endpoint is tried by one request at a time.
+	// loadCost prefers the less loaded of equal endpoints; endpoints slow down when nearly full.
+	loadCost = 0.015
+	// queueCost is subtracted for each baseline latency that a request would wait for a slot.
+	queueCost = 0.05
+	// retrySuccessChance is the chance that a retry is served, if one is allowed.
+	retrySuccessChance = 0.7
+	// newEndpointBonus attracts a first request to an endpoint that was added.
+	newEndpointBonus = 0.3
+	// scoreJitter keeps instances with the same view from making the same choice.
+	scoreJitter = 0.004
+	// unprovenChance is the chance below which an endpoint is tried by one request at a time.
 	unprovenChance = 0.85
-	// unprovenCost is taken off for each request that is on trial there already.
+	// unprovenCost is subtracted for each request in flight at an unproven endpoint.
 	unprovenCost = 0.1
-	// leastPreference bounds what costs take off.
-	leastPreference = 0.2
-	// lostChance is the chance of an answer under which an order is turned away unrun: a
-	// refusal that says so serves its caller better than a failure that is all but certain.
-	lostChance = 0.05
-	// coldFactor is how many times longer a request takes at an endpoint that warms up.
-	coldFactor = 2
+	// minPreference is the least factor to which load and queue costs reduce a score.
+	minPreference = 0.2
+	// minSuccessChance is the chance of a response below which a request that is not idempotent
+	// is rejected without being sent: a rejection that says so serves the caller better than an
+	// almost certain failure.
+	minSuccessChance = 0.05
+	// warmUpFactor is how many times longer a request takes at an endpoint that is warming up.
+	warmUpFactor = 2
 )
 
 const (
-	// coverChance is the chance from which an endpoint is taken to be sound. Most of the sound
-	// ones are to be in use at any time: when instances are lost, their requests count as unserved.
-	coverChance = 0.45
-	// coverEvery is how often each such endpoint is used by orders while too few are in use,
-	// well inside the two seconds over which the users judge it.
-	coverEvery = 1400 * time.Millisecond
-	// testChance and testEvery hold for idempotent requests, however many are in use: a failure
-	// costs them a repeat only.
-	testChance = 0.35
-	testEvery  = 900 * time.Millisecond
-	// awayFactor is how many times longer an endpoint of another zone is left to the instances there.
-	awayFactor = 3
-	// spreadFrom is the unserved share from which endpoints are used whatever their chance
-	// while too few are; from a tenth on, the users want most of them in use.
-	spreadFrom = 0.08
-	// spreadMargin is added to the share of endpoints that the users want in use then.
+	// healthyChance is the chance from which an endpoint counts as healthy. Most healthy
+	// endpoints are to be in use at any time: when instances fail, their requests count as unserved.
+	healthyChance = 0.45
+	// useInterval is how often each healthy endpoint gets a request that is not idempotent while
+	// too few are in use, well within the two seconds over which use is judged.
+	useInterval = 1400 * time.Millisecond
+	// probeChance and probeInterval take the place of healthyChance and useInterval for
+	// idempotent requests, however many endpoints are in use: a failure costs them only a retry.
+	probeChance   = 0.35
+	probeInterval = 900 * time.Millisecond
+	// otherZoneFactor is how many times longer an endpoint of another zone is left to the instances there.
+	otherZoneFactor = 3
+	// spreadUnservedShare is the share of unserved requests above which endpoints are used
+	// whatever their chance, while too few are in use. The objective is that most of them are in
+	// use from a share of a tenth on.
+	spreadUnservedShare = 0.08
+	// spreadMargin is added to the share of endpoints that is then to be in use.
 	spreadMargin = 0.05
-	// spreadWithin is how long a use counts, well inside the two seconds over which the users judge it.
-	spreadWithin = 1500 * time.Millisecond
-	// spreadMin is the fewest requests that tell a share.
-	spreadMin = 10
-	// spreadRest is how long a failed endpoint is left alone all the same.
-	spreadRest = 1800 * time.Millisecond
+	// inUseWindow is how long an endpoint counts as in use after a request, well within the two
+	// seconds over which use is judged.
+	inUseWindow = 1500 * time.Millisecond
+	// minSpreadSamples is the fewest requests from which the unserved share is computed.
+	minSpreadSamples = 10
+	// failureBackoff is how long a failed endpoint is avoided even while requests are spread.
+	failureBackoff = 1800 * time.Millisecond
 )
 
-// choice is an endpoint with what speaks for it.
-type choice struct {
-	endpoint *tracked
-	chance   float64
-	finish   time.Duration // Expected time to the answer.
-	worth    float64       // Expected credit.
+// candidate is an endpoint with its score for one request.
+type candidate struct {
+	endpoint        *endpointState
+	chance          float64
+	expectedLatency time.Duration // Queueing included.
+	score           float64       // Expected credit.
 }
 
-// choose returns the best endpoint for a request; ok is false where none takes work.
-func (m *Machine) choose(now time.Time, s *service, a *Request) (best choice, ok bool) {
-	spreads := s.spreads(now)
-	// A lookup covers whatever is in use, so that the share is counted for it only where it decides.
-	few := (spreads || !a.Idempotent) && s.inUse(now) < m.cfg.FloorShare+spreadMargin
-	spread := few && spreads
-	var due choice
+// choose returns the best endpoint for a request; ok is false if none is usable.
+func (m *Machine) choose(now time.Time, s *service, r *Request) (best candidate, ok bool) {
+	highUnserved := s.highUnserved(now)
+	// Idempotent requests probe endpoints however many are in use, so that the share in use is
+	// computed for them only while many requests go unserved.
+	tooFewInUse := (highUnserved || !r.Idempotent) && s.inUseShare(now) < m.cfg.FloorShare+spreadMargin
+	spread := tooFewInUse && highUnserved
+	var due candidate
 	for _, e := range s.endpoints {
-		if !m.usable(now, e, a) {
+		if !m.usable(now, e, r) {
 			continue
 		}
-		c := m.weigh(now, s, e, a)
-		if !ok || c.worth > best.worth {
+		c := m.evaluate(now, s, e, r)
+		if !ok || c.score > best.score {
 			best, ok = c, true
 		}
-		if c.due(now, a.Idempotent || few, spread, a.Idempotent, m.away(e)) && (due.endpoint == nil || c.worth > due.worth) {
+		if c.due(now, r.Idempotent || tooFewInUse, spread, r.Idempotent, m.usedByOtherZone(e)) && (due.endpoint == nil || c.score > due.score) {
 			due = c
 		}
 	}
-	if due.endpoint != nil && due.finish < a.Deadline.Sub(now) {
+	if due.endpoint != nil && due.expectedLatency < r.Deadline.Sub(now) {
 		return due, true
 	}
 	return best, ok
 }
 
-// lost tells whether a request is better turned away than sent to its best endpoint.
-func (c choice) lost(left time.Duration, idempotent bool) bool {
-	inTime := likelyBy(left, c.finish)
-	return inTime == 0 || !idempotent && c.chance*inTime < lostChance
+// tooUnlikely reports whether a request is better rejected than sent to its best endpoint.
+func (c candidate) tooUnlikely(timeLeft time.Duration, idempotent bool) bool {
+	inTime := chanceWithin(timeLeft, c.expectedLatency)
+	return inTime == 0 || !idempotent && c.chance*inTime < minSuccessChance
 }
 
-// due tells whether an endpoint is to be used because it has not been for long: while covers,
-// if it is likely sound, and while the service spreads, whatever it is.
-func (c choice) due(now time.Time, covers, spread, idempotent, away bool) bool {
-	chance, every := coverChance, coverEvery
+// due reports whether an endpoint is to be used because it has not been for long: with refresh
+// if it is likely healthy, and with spread whatever its chance, unless it has just failed.
+func (c candidate) due(now time.Time, refresh, spread, idempotent, otherZone bool) bool {
+	minChance, interval := healthyChance, useInterval
 	if idempotent {
-		chance, every = testChance, testEvery
+		minChance, interval = probeChance, probeInterval
 	}
-	if away && !spread {
-		every *= awayFactor
+	if otherZone && !spread {
+		interval *= otherZoneFactor
 	}
-	if now.Sub(c.endpoint.used) < every {
+	if now.Sub(c.endpoint.lastUsed) < interval {
 		return false
 	}
-	return covers && c.chance >= chance || spread && now.Sub(c.endpoint.failed) > spreadRest
+	return refresh && c.chance >= minChance || spread && now.Sub(c.endpoint.lastFailed) > failureBackoff
 }
 
-// away tells whether an endpoint is another zone's, whose instances use it.
-func (m *Machine) away(e *tracked) bool {
+// usedByOtherZone reports whether an endpoint is in another zone that has instances to use it.
+func (m *Machine) usedByOtherZone(e *endpointState) bool {
 	return e.Zone != m.cfg.Zone && m.peersByZone[e.Zone] > 0
 }
 
-// spreads tells whether so many requests go unserved that most endpoints are to be used.
-func (s *service) spreads(now time.Time) bool {
+// highUnserved reports whether so many requests go unserved that most endpoints are to be used.
+func (s *service) highUnserved(now time.Time) bool {
 	share, n := s.unservedShare(now)
-	return n >= spreadMin && share > spreadFrom
+	return n >= minSpreadSamples && share > spreadUnservedShare
 }
 
-// inUse returns the share of the endpoints that have been used lately. One that has just
-// failed counts neither way: the users do not take it for sound.
-func (s *service) inUse(now time.Time) float64 {
-	used, all := 0, 0
+// inUseShare returns the share of the endpoints that have been used recently. One that has just
+// failed is not counted at all: by the objective it is not a healthy endpoint.
+func (s *service) inUseShare(now time.Time) float64 {
+	used, total := 0, 0
 	for _, e := range s.endpoints {
-		if e.Draining || now.Sub(e.failed) <= spreadRest {
+		if e.Draining || now.Sub(e.lastFailed) <= failureBackoff {
 			continue
 		}
-		all++
-		if now.Sub(e.used) < spreadWithin {
+		total++
+		if now.Sub(e.lastUsed) < inUseWindow {
 			used++
 		}
 	}
-	return float64(used) / float64(max(all, 1))
+	return float64(used) / float64(max(total, 1))
 }
 
-// usable tells whether a request may go to an endpoint at all.
-func (m *Machine) usable(now time.Time, e *tracked, a *Request) bool {
-	return !e.Draining && !now.Before(e.reach.until) && !slices.Contains(a.Tried, e.ID)
+// usable reports whether a request may go to an endpoint at all.
+func (m *Machine) usable(now time.Time, e *endpointState, r *Request) bool {
+	return !e.Draining && !now.Before(e.reach.backoffUntil) && !slices.Contains(r.Tried, e.ID)
 }
 
-// weigh returns what an endpoint is worth to a request. Costs and preferences are parts of
-// the expected credit: however crowded, a sound endpoint goes before one that fails.
-func (m *Machine) weigh(now time.Time, s *service, e *tracked, a *Request) choice {
-	c := choice{endpoint: e, chance: e.estimate.At(m.cfg.HealthModel, now)}
-	work := e.took.or(s.usual())
+// evaluate scores an endpoint for a request. Load and queue costs scale the expected credit, so
+// that a healthy endpoint goes before a failing one however loaded it is.
+func (m *Machine) evaluate(now time.Time, s *service, e *endpointState, r *Request) candidate {
+	c := candidate{endpoint: e, chance: e.estimate.At(m.cfg.HealthModel, now)}
+	latency := e.latency.withPrior(s.baselineLatency())
 	if now.Before(e.WarmUpEnd) {
-		work *= coldFactor
+		latency *= warmUpFactor
 	}
-	wait := queueing(e, work)
-	c.finish = work + wait
-	preference := 1 - crowdCost*float64(e.inFlight)/float64(e.Slots) - waitCost*wait.Seconds()/work.Seconds()
-	if c.chance < unprovenChance && !a.Idempotent {
+	wait := queueDelay(e, latency)
+	c.expectedLatency = latency + wait
+	preference := 1 - loadCost*float64(e.inFlight)/float64(e.Slots) - queueCost*wait.Seconds()/latency.Seconds()
+	if c.chance < unprovenChance && !r.Idempotent {
 		preference -= unprovenCost * float64(e.inFlight)
 	}
-	c.worth = m.servedChance(c.chance, a) * credit(a, now, c.finish) * max(preference, leastPreference)
-	c.worth -= a.CrossZoneCost * m.crosses(e, c.chance, a)
-	if e.used.IsZero() && now.After(e.WarmUpEnd) && now.Sub(e.joined) > time.Second {
-		c.worth += unusedBonus
+	c.score = m.eventualChance(c.chance, r) * credit(r, now, c.expectedLatency) * max(preference, minPreference)
+	c.score -= r.CrossZoneCost * m.crossZoneChance(e, c.chance, r)
+	if e.lastUsed.IsZero() && now.After(e.WarmUpEnd) && now.Sub(e.addedAt) > time.Second {
+		c.score += newEndpointBonus
 	}
-	c.worth += jitter * rand.New(m.random).Float64()
+	c.score += scoreJitter * rand.New(m.random).Float64()
 	return c
 }
 
-// servedChance returns the chance that a request is served in the end: an idempotent one
-// whose first try fails, mostly at once, is sent elsewhere.
-func (m *Machine) servedChance(chance float64, a *Request) float64 {
-	if !a.repeatable {
+// eventualChance returns the chance that a request is served in the end: if the first attempt
+// of an idempotent one fails, mostly at once, it is retried elsewhere.
+func (m *Machine) eventualChance(chance float64, r *Request) float64 {
+	if !r.retryable {
 		return chance
 	}
-	return chance + (1-chance)*secondChance
+	return chance + (1-chance)*retrySuccessChance
 }
 
-// crosses returns the chance that a request's answer comes from another zone: of an endpoint
-// there, or of a second try, which may go anywhere.
-func (m *Machine) crosses(e *tracked, chance float64, a *Request) float64 {
+// crossZoneChance returns the chance that a request's response comes from another zone: from
+// this endpoint, or from a retry, which may go to any zone.
+func (m *Machine) crossZoneChance(e *endpointState, chance float64, r *Request) float64 {
 	if e.Zone != m.cfg.Zone {
 		return chance
 	}
-	if !a.repeatable {
+	if !r.retryable {
 		return 0
 	}
-	return (1 - chance) * secondChance
+	return (1 - chance) * retrySuccessChance
 }
 
-// queueing returns how long a request waits for a slot.
-func queueing(e *tracked, work time.Duration) time.Duration {
+// queueDelay returns how long a request waits for a slot.
+func queueDelay(e *endpointState, latency time.Duration) time.Duration {
 	ahead := e.inFlight - e.Slots + 1
 	if ahead <= 0 {
 		return 0
 	}
-	return work * time.Duration(ahead) / time.Duration(e.Slots)
+	return latency * time.Duration(ahead) / time.Duration(e.Slots)
 }
 
-// credit returns the part of a request's credit that an answer after about finish earns.
-func credit(a *Request, now time.Time, finish time.Duration) float64 {
-	onTime := likelyBy(a.Objective.Sub(now), finish)
-	served := likelyBy(a.Deadline.Sub(now), finish)
+// credit returns the expected part of a request's credit that a response with an expected latency earns.
+func credit(r *Request, now time.Time, expectedLatency time.Duration) float64 {
+	onTime := chanceWithin(r.Objective.Sub(now), expectedLatency)
+	served := chanceWithin(r.Deadline.Sub(now), expectedLatency)
 	return lateCredit*served + (1-lateCredit)*min(onTime, served)
 }
 
-// hopeless is the part of the expected time that an answer must have to be likely at all.
-const hopeless = 0.6
+// minLatencyRatio is the ratio of available time to expected latency up to which a response counts as impossible.
+const minLatencyRatio = 0.6
 
-// likelyBy returns about how likely an answer that takes finish on average comes within a
-// time. Times of work spread by about half, so it falls from 1 at 1.8 times the average to 0 at 0.6.
-func likelyBy(within, finish time.Duration) float64 {
+// chanceWithin returns the approximate chance that a response with an expected latency comes
+// within a time. Latencies vary by about half, so it falls from 1 at 1.8 times the expected
+// latency to 0 at 0.6.
+func chanceWithin(within, expectedLatency time.Duration) float64 {
 	const certain = 1.8
-	ratio := float64(within) / float64(max(finish, time.Millisecond))
-	return min(max((ratio-hopeless)/(certain-hopeless), 0), 1)
+	ratio := float64(within) / float64(max(expectedLatency, time.Millisecond))
+	return min(max((ratio-minLatencyRatio)/(certain-minLatencyRatio), 0), 1)
 }
--- a/coord/dispatch/service.go
+++ b/coord/dispatch/service.go
@@ -7,21 +7,21 @@
 	"github.com/damaskcove/damaskcove/coord/retrybudget"
 )
 
-// service is what an instance knows of one service.
+// service is the state of one service.
 type service struct {
-	endpoints []*tracked
+	endpoints []*endpointState
 	budget    *retrybudget.Budget
-	took      average[time.Duration]
+	latency   ewma[time.Duration]
 	recent    window.Pair // Served and unserved requests of all instances.
 }
 
 const (
-	// recentSlices and recentSlice make up the two seconds over which the users judge spread.
+	// recentSlices and recentSlice make up the two seconds over which the use of endpoints is judged.
 	recentSlices = 8
 	recentSlice  = 250 * time.Millisecond
 )
 
-// unservedShare returns the recent share of requests that were not served, and their number.
+// unservedShare returns the recent share of requests that were not served, and the number of all recent requests.
 func (s *service) unservedShare(now time.Time) (float64, int) {
 	served, unserved := s.recent.Sums(now)
 	if served+unserved == 0 {
@@ -30,7 +30,7 @@
 	return float64(unserved) / float64(served+unserved), served + unserved
 }
 
-// usual returns the time that a request of the service takes.
-func (s *service) usual() time.Duration {
-	return s.took.or(usualTime)
+// baselineLatency returns the usual latency of the service's requests.
+func (s *service) baselineLatency() time.Duration {
+	return s.latency.withPrior(defaultLatency)
 }
--- a/coord/dispatch/types.go
+++ b/coord/dispatch/types.go
@@ -7,82 +7,82 @@
 	"github.com/damaskcove/damaskcove/coord/retrybudget"
 )
 
-// EndpointID names an endpoint in reports: a hash of the id that it registered with.
+// EndpointID identifies an endpoint in reports: a hash of the id under which it registered.
 type EndpointID uint32
 
-// PeerID names one life of another instance.
+// PeerID identifies one incarnation of another instance.
 type PeerID uint64
 
 // Endpoint is one endpoint of a service.
 type Endpoint struct {
 	ID        EndpointID
-	Name      string // The id that it registered with.
+	Name      string // The id under which it registered.
 	Service   string
 	Address   string
 	Zone      string
 	Slots     int
 	Draining  bool
-	Started   time.Time // A start under the same id is another life, of which nothing is known.
-	WarmUpEnd time.Time // It is slow until then.
+	Started   time.Time // A later start under the same id is a new incarnation, without any history.
+	WarmUpEnd time.Time // Requests take longer until then.
 }
 
-// Request is a request that wants an endpoint.
+// Request is a request to be placed on an endpoint.
 type Request struct {
 	Service       string
-	SizeClass     string // Requests whose answers are of about one size, such as a route's.
-	LargeResponse bool   // Answers of the class are large.
+	SizeClass     string // Requests with responses of about one size, such as those of a route.
+	LargeResponse bool   // Responses of the class are large.
 	Idempotent    bool
 	Retry         bool // It was sent before and draws on the retry budget.
-	Hedge         bool // It is under way elsewhere; it gets a free slot at a sound endpoint or none.
+	Hedge         bool // Another attempt is under way; it gets a free slot at a healthy endpoint or none.
 	Objective     time.Time
 	Deadline      time.Time
 	Tried         []EndpointID
-	CrossZoneCost float64 // Part of its credit that an answer from another zone costs; see Machine.CrossZoneCost.
-	MinScore      float64 // It gets an endpoint of at least this worth, or none.
+	CrossZoneCost float64 // Part of its credit that a response from another zone costs; see Machine.CrossZoneCost.
+	MinScore      float64 // It gets an endpoint of at least this score, or none.
 
-	repeatable bool // The budget lets it be sent again if it fails.
+	retryable bool // The budget allows a retry if it fails.
 }
 
-// Reason tells why a Request is rejected.
+// Reason is why a Request is rejected.
 type Reason uint8
 
 // Reasons of a Rejection.
 const (
-	NoEndpoint           Reason = iota + 1 // The service has none that takes work.
-	Overloaded                             // No endpoint could answer before the deadline.
+	NoEndpoint           Reason = iota + 1 // No endpoint of the service accepts requests.
+	Overloaded                             // No endpoint is expected to respond before the deadline.
 	RetryBudgetExhausted                   // The retry budget is spent.
-	NoSpareSlot                            // No sound endpoint has a slot to spare for a Hedge.
-	ScoreTooLow                            // No endpoint has the least worth that is asked for.
+	NoSpareSlot                            // No healthy endpoint has a spare slot for a Hedge.
+	ScoreTooLow                            // No endpoint reaches the Request's MinScore.
 )
 
-// Grant gives a request an endpoint. It counts as in flight until Ended.
+// Grant assigns an endpoint to a request, which counts as in flight there until Ended.
 type Grant struct {
 	Endpoint        Endpoint
-	BrokerSeq       uint64        // Names the grant at the broker that gave it; 0 for this instance's own.
-	Chance          float64       // Estimated chance that it is served.
+	BrokerSeq       uint64        // Sequence number of the request to the broker; 0 for this instance's own grant.
+	Chance          float64       // Estimated chance of success.
 	InFlight        int           // Requests of all instances there, this one included.
-	BaselineLatency time.Duration // Time that a request takes there.
+	BaselineLatency time.Duration // Usual latency of a request there.
 }
 
-// Rejection turns a request away.
+// Rejection is the refusal to place a request.
 type Rejection struct {
 	Reason          Reason
 	RetryAfter      time.Duration
-	ExpectedLatency time.Duration // Of Overloaded: time to an answer at the best endpoint.
+	ExpectedLatency time.Duration // Set for Overloaded: latency at the best endpoint.
 	TimeLeft        time.Duration // Time to the deadline.
-	BestScore       float64       // Of ScoreTooLow: worth of the best endpoint.
+	BestScore       float64       // Set for ScoreTooLow: score of the best endpoint.
 }
 
-// Event is what an instance tells the others of one endpoint.
+// Event is what an instance reports to the others about one endpoint.
 type Event struct {
 	_             struct{} `cbor:",toarray"`
 	Endpoint      EndpointID
-	InFlight      int       // The reporter's own requests there, after the event.
-	Kind          EventKind // What happened.
-	LatencyMillis int       // Milliseconds from the start to the end; 0 for a start.
+	InFlight      int // The reporter's own requests there, after the event.
+	Kind          EventKind
+	LatencyMillis int // From the start to the end; 0 for a start.
 }
 
-// EventKind tells what happened at an endpoint.
+// EventKind is what happened at an endpoint.
 type EventKind uint8
 
 // Kinds of events.
@@ -93,11 +93,11 @@
 	EndedFailed
 	EndedBroken
 	EndedRefused
-	EndedUnknown // It tells nothing of the endpoint: the caller left, or it could not be reached from here.
+	EndedUnknown // No evidence about the endpoint: the caller left, or this instance could not reach the endpoint.
 	Overdue
 )
 
-// outcomes are the kinds that tell how an endpoint does.
+// outcomes maps the kinds that are evidence of an endpoint's health.
 var outcomes = map[EventKind]outlook.Outcome{
 	EndedServed:  outlook.Served,
 	EndedFailed:  outlook.Failed,
@@ -106,12 +106,12 @@
 	Overdue:      outlook.Overdue,
 }
 
-// Config holds what the decisions depend on.
+// Config configures a Machine.
 type Config struct {
 	Zone        string
 	HealthModel outlook.Model
 	RetryBound  retrybudget.Bound
-	FloorShare  float64       // Share of a service's endpoints that is to be in use while many requests go unserved.
-	PeerTimeout time.Duration // After which a silent peer's requests in flight are forgotten.
-	NoReports   bool          // Nobody else is told of what happens here.
+	FloorShare  float64       // Share of a service's endpoints to be in use while many requests go unserved.
+	PeerTimeout time.Duration // After which the requests in flight of a silent peer are dropped.
+	NoReports   bool          // Events are not reported to other instances.
 }
