--- a/coord/outlook/doc.go
+++ b/coord/outlook/doc.go
@@ -1,12 +1,12 @@
 // Package outlook estimates the chance that an upstream endpoint serves the next request.
 //
-// An endpoint is taken to be in one of two states, good or failing, and to change between
-// them at random: failing spells start without notice and last seconds, while the
-// endpoint's health path reports that all is well. Each outcome of a request moves the
-// chance by its likelihood in either state; between outcomes the chance drifts back to
-// the long-run share of good time. So one failure stops the use of an endpoint, an
-// endpoint that has just served is preferred to one that has not been tried for a while,
-// and an endpoint returns by itself as what is known of it grows old.
+// An endpoint is modeled as a two-state Markov process that changes between healthy and failing
+// at random: failures start without notice and last seconds, while the endpoint's health check
+// keeps passing. Each outcome of a request updates the chance by Bayes' rule, with the
+// likelihoods of the outcome in either state; between outcomes the chance decays to the prior,
+// the long-run share of healthy time. So one failure stops the use of an endpoint, an endpoint
+// that has just served is preferred to one that has not been tried for a while, and a failed
+// endpoint returns by itself as the evidence against it grows stale.
 //
-// The package reads no clock and keeps no randomness.
+// The package reads no clock and draws no random numbers.
 package outlook
--- a/coord/retrybudget/retrybudget.go
+++ b/coord/retrybudget/retrybudget.go
@@ -1,14 +1,14 @@
-// Package retrybudget bounds how often requests of a service are sent again, over all instances.
+// Package retrybudget limits the retries of a service over all instances.
 //
-// Instances tell each other of each first sending and each repeat, so that one window
-// counts both for the whole fleet. An instance that hears of no other falls back to its
-// own share of the bound.
+// Instances report each first attempt and each retry to each other, so that a sliding window
+// counts both for the whole fleet. An instance that receives no reports falls back to its own
+// share of the bound.
 //
-// What was spent before an instance started is not known to it, and may have been all that
-// may be spent: for the first window of its life it counts on what those before it have left.
+// An instance has no count of the retries before its start, which may have spent the whole
+// budget: for its first window it uses only the margin that earlier instances left unspent.
 //
-// The load pattern that it answers: a service fails at once, every instance wants to
-// repeat every request, and the repeats would make up the outage.
+// This guards against retry storms: a service fails all at once, every instance retries every
+// request, and the retries prolong the outage.
 package retrybudget
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/damaskcove/damaskcove/coord/internal/window"
 )
 
-// Bound is what may be repeated in any window: Ratio of the requests, and Extra besides.
+// Bound limits the retries in any window: to Ratio of the requests, plus Extra.
 type Bound struct {
 	Window time.Duration
 	Ratio  float64
@@ -25,37 +25,37 @@
 }
 
 const (
-	// slices divide the window; a count leaves it at most one slice late.
+	// slices is the number of slices of the window; a count leaves the window at most one slice late.
 	slices = 20
-	// margin is the part of the bound that is spent. The rest is for repeats which other
-	// instances have sent but not yet told of, and for a window with a restart of all.
-	margin = 0.85
+	// spendable is the part of the bound that is spent. The rest is a margin for retries that
+	// other instances have sent but not yet reported, and for a window in which all restart.
+	spendable = 0.85
 )
 
-// Budget counts one service. It is not safe for concurrent use.
+// Budget is the retry budget of one service. It is not safe for concurrent use.
 type Budget struct {
 	bound   Bound
 	started time.Time
-	sent    window.Pair // First sendings and repeats.
+	sent    window.Pair // First attempts and retries.
 }
 
-// New returns a budget without counts of an instance that started at a moment.
+// New returns an empty budget of an instance that started at a time.
 func New(bound Bound, started time.Time) *Budget {
 	return &Budget{bound: bound, started: started, sent: window.New(slices, bound.Window/slices)}
 }
 
-// Sent counts a sending by any instance.
-func (b *Budget) Sent(now time.Time, repeat bool) {
-	b.sent.Add(now, repeat)
+// Sent counts an attempt by any instance.
+func (b *Budget) Sent(now time.Time, retry bool) {
+	b.sent.Add(now, retry)
 }
 
-// Allows tells whether one more repeat is within the bound. share is the part of Extra that
-// this instance may count on: 1 while it hears the others, its own part while it does not.
+// Allows reports whether one more retry is within the bound. share is the part of Extra that
+// this instance may use: 1 while it receives the reports of all others, less if it does not.
 func (b *Budget) Allows(now time.Time, share float64) bool {
-	requests, repeated := b.sent.Sums(now)
-	part := margin
+	requests, retries := b.sent.Sums(now)
+	part := spendable
 	if now.Sub(b.started) < b.bound.Window {
-		part = 1 - margin
+		part = 1 - spendable
 	}
-	return float64(repeated+1) <= part*(b.bound.Ratio*float64(requests)+share*b.bound.Extra)
+	return float64(retries+1) <= part*(b.bound.Ratio*float64(requests)+share*b.bound.Extra)
 }
--- a/coord/retrybudget/retrybudget_test.go
+++ b/coord/retrybudget/retrybudget_test.go
@@ -9,11 +9,11 @@
 
 var bound = Bound{Window: 10 * time.Second, Ratio: 0.2, Extra: 62}
 
-// The load that the budget answers: a service fails at once and every request wants a repeat.
-func TestRepeatsOfAFailedServiceStayWithinTheBound(t *testing.T) {
+// A service fails all at once, and every request is to be retried.
+func TestRetriesOfAFailedServiceStayWithinTheBound(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := New(bound, now.Add(-bound.Window))
-	var repeats []time.Time
+	var retries []time.Time
 	requests := 0
 	for range 3000 {
 		now = now.Add(10 * time.Millisecond)
@@ -21,28 +21,28 @@
 		requests++
 		if b.Allows(now, 1) {
 			b.Sent(now, true)
-			repeats = append(repeats, now)
+			retries = append(retries, now)
 		}
 	}
 	perWindow := int(bound.Window / (10 * time.Millisecond))
 	most := int(bound.Ratio*float64(perWindow) + bound.Extra)
-	for i, at := range repeats {
+	for i, at := range retries {
 		n := 0
-		for _, other := range repeats[i:] {
+		for _, other := range retries[i:] {
 			if other.Sub(at) < bound.Window {
 				n++
 			}
 		}
 		if n > most {
-			t.Fatalf("%d repeats within %s, bound %d", n, bound.Window, most)
+			t.Fatalf("%d retries within %s, bound %d", n, bound.Window, most)
 		}
 	}
-	if len(repeats) < most {
-		t.Errorf("only %d repeats in three windows, bound %d in each", len(repeats), most)
+	if len(retries) < most {
+		t.Errorf("only %d retries in three windows, bound %d in each", len(retries), most)
 	}
 }
 
-func TestAnIsolatedInstanceSpendsItsOwnShare(t *testing.T) {
+func TestIsolatedInstanceSpendsItsOwnShare(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := New(bound, now.Add(-bound.Window))
 	n := 0
@@ -51,16 +51,16 @@
 		n++
 	}
 	if n > int(bound.Extra/44)+1 {
-		t.Errorf("%d repeats without a request, its share is %d", n, int(bound.Extra/44))
+		t.Errorf("%d retries without a request, its share is %d", n, int(bound.Extra/44))
 	}
 }
 
-// The load that it answers: all instances are killed while a service fails, and start again
-// without knowing what they have spent.
-func TestARestartDoesNotSpendTheWindowTwice(t *testing.T) {
+// All instances are killed while a service fails, and restart without a count of the retries
+// that they have sent.
+func TestRestartDoesNotSpendTheWindowTwice(t *testing.T) {
 	start := time.Unix(100, 0)
 	killed := start.Add(7 * time.Second)
-	repeats, requests := 0, 0
+	retries, requests := 0, 0
 	b := New(bound, start.Add(-bound.Window))
 	for now := start; now.Before(start.Add(bound.Window)); now = now.Add(10 * time.Millisecond) {
 		if now.Equal(killed) {
@@ -70,24 +70,24 @@
 		requests++
 		for b.Allows(now, 1) {
 			b.Sent(now, true)
-			repeats++
+			retries++
 		}
 	}
-	if most := int(bound.Ratio*float64(requests) + bound.Extra); repeats > most {
-		t.Errorf("%d repeats in a window with a restart, bound %d", repeats, most)
+	if most := int(bound.Ratio*float64(requests) + bound.Extra); retries > most {
+		t.Errorf("%d retries in a window with a restart, bound %d", retries, most)
 	}
 }
 
-// The load that it answers: a service that was well for long fails; its budget is spent, all
-// instances are killed at some moment of the window, and the service goes on failing.
-func TestARestartLeavesASpentBudgetSpent(t *testing.T) {
+// A service that was healthy for long fails; its budget is spent, all instances are killed at
+// some time in the window, and the service goes on failing.
+func TestRestartLeavesASpentBudgetSpent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const step = 10 * time.Millisecond
 		start := time.Unix(100, 0)
 		fails := start.Add(bound.Window)
 		killed := fails.Add(time.Duration(rapid.IntRange(1, int(bound.Window/step)-1).Draw(t, "steps")) * step)
 		b := New(bound, start.Add(-bound.Window))
-		repeats, requests := 0, 0
+		retries, requests := 0, 0
 		for now := start; now.Before(fails.Add(bound.Window)); now = now.Add(step) {
 			if now.Equal(killed) {
 				b = New(bound, now)
@@ -99,11 +99,11 @@
 			requests++
 			for b.Allows(now, 1) {
 				b.Sent(now, true)
-				repeats++
+				retries++
 			}
 		}
-		if most := int(bound.Ratio*float64(requests) + bound.Extra); repeats > most {
-			t.Fatalf("%d repeats in a window with a restart at %s, bound %d", repeats, killed.Sub(fails), most)
+		if most := int(bound.Ratio*float64(requests) + bound.Extra); retries > most {
+			t.Fatalf("%d retries in a window with a restart at %s, bound %d", retries, killed.Sub(fails), most)
 		}
 	})
 }
@@ -114,13 +114,13 @@
 		b := New(bound, now.Add(-bound.Window))
 		for range rapid.IntRange(0, 300).Draw(t, "sent") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, 2e9).Draw(t, "gap")))
-			b.Sent(now, rapid.Bool().Draw(t, "repeat"))
-			if requests, repeated := b.sent.Sums(now); requests < 0 || repeated < 0 {
-				t.Fatalf("counts %d and %d", requests, repeated)
+			b.Sent(now, rapid.Bool().Draw(t, "retry"))
+			if requests, retries := b.sent.Sums(now); requests < 0 || retries < 0 {
+				t.Fatalf("counts %d and %d", requests, retries)
 			}
 		}
-		if requests, repeated := b.sent.Sums(now.Add(2 * bound.Window)); requests != 0 || repeated != 0 {
-			t.Fatalf("two windows later %d and %d are left", requests, repeated)
+		if requests, retries := b.sent.Sums(now.Add(2 * bound.Window)); requests != 0 || retries != 0 {
+			t.Fatalf("two windows later %d and %d are left", requests, retries)
 		}
 	})
 }
