--- a/coord/broker/broker_test.go
+++ b/coord/broker/broker_test.go
@@ -29,16 +29,16 @@
 	return out
 }
 
-func TestTheFastestLinksKeep(t *testing.T) {
+func TestFastestLinksCoordinate(t *testing.T) {
 	for name, tc := range map[string]struct {
 		links []float64
 		want  []string
 	}{
-		"nobody":                {nil, nil},
-		"one":                   {[]float64{20}, []string{"edge-00"}},
-		"three fast":            {[]float64{20, 200, 20, 200, 200, 20}, []string{"edge-01", "edge-03", "edge-04"}},
-		"five fast":             {[]float64{200, 200, 200, 200, 200}, []string{"edge-00", "edge-01", "edge-02"}},
-		"one fast, two as good": {[]float64{20, 200, 20}, []string{"edge-01", "edge-00"}},
+		"no instances":        {nil, nil},
+		"one":                 {[]float64{20}, []string{"edge-00"}},
+		"three fast":          {[]float64{20, 200, 20, 200, 200, 20}, []string{"edge-01", "edge-03", "edge-04"}},
+		"five fast":           {[]float64{200, 200, 200, 200, 200}, []string{"edge-00", "edge-01", "edge-02"}},
+		"one fast, two equal": {[]float64{20, 200, 20}, []string{"edge-01", "edge-00"}},
 	} {
 		if got := keys(Coordinators(zone(tc.links...))); !slices.Equal(got, tc.want) {
 			t.Errorf("%s: got %v, want %v", name, got, tc.want)
@@ -46,11 +46,11 @@
 	}
 }
 
-// The order of a service's brokers does not hang on the order in which they are known, nor on
-// their lives, and services are spread over all of them.
-func TestAllRankAlike(t *testing.T) {
+// The order of a service's brokers depends neither on the order of the list nor on incarnations,
+// and services are spread over all brokers.
+func TestRankIsTheSameEverywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := zone(rapid.SliceOfN(rapid.Just(200.0), 2, MaxCoordinators).Draw(t, "keepers")...)
+		list := zone(rapid.SliceOfN(rapid.Just(200.0), 2, MaxCoordinators).Draw(t, "coordinators")...)
 		service := rapid.String().Draw(t, "service")
 		want := keys(Rank(service, list))
 		shuffled := rapid.Permutation(list).Draw(t, "order")
@@ -73,77 +73,77 @@
 	}
 }
 
-// The load that it answers: a broker dies, and hundreds of requests a second would wait for it.
-func TestASilentBrokerIsPassedOver(t *testing.T) {
+// A broker fails, and hundreds of requests a second would wait for it.
+func TestUnresponsiveBrokerIsSkipped(t *testing.T) {
 	var s Suspects
 	ranked := zone(200, 200)
 	if got, ok := s.Pick(start, ranked); !ok || got.Key != "edge-00" {
-		t.Errorf("asks %v", got)
+		t.Errorf("got %v", got)
 	}
 	s.Add(start, ranked[0].Incarnation)
 	if got, ok := s.Pick(start, ranked); !ok || got.Key != "edge-01" {
-		t.Errorf("asks %v after the first was silent", got)
+		t.Errorf("got %v after the first did not reply", got)
 	}
 	s.Add(start, ranked[1].Incarnation)
 	if got, ok := s.Pick(start, ranked); ok {
-		t.Errorf("asks %v though both were silent", got)
+		t.Errorf("got %v though neither replied", got)
 	}
-	if got, ok := s.Pick(start.Add(suspectFor), ranked); !ok || got.Key != "edge-00" {
-		t.Errorf("asks %v after a while", got)
+	if got, ok := s.Pick(start.Add(suspectTimeout), ranked); !ok || got.Key != "edge-00" {
+		t.Errorf("got %v after the timeout", got)
 	}
-	again := slices.Clone(ranked)
-	again[0].Incarnation += 1000
+	restarted := slices.Clone(ranked)
+	restarted[0].Incarnation += 1000
 	s.Add(start, ranked[0].Incarnation)
-	if got, ok := s.Pick(start, again); !ok || got.Key != "edge-00" {
-		t.Errorf("asks %v though the first was restarted", got)
+	if got, ok := s.Pick(start, restarted); !ok || got.Key != "edge-00" {
+		t.Errorf("got %v though the first has restarted", got)
 	}
 }
 
-// Questions, ends and losses in any order: every grant is counted out exactly once.
-func TestEveryGrantIsCountedOutOnce(t *testing.T) {
+// Requests, ends and message losses come in any order: every grant is removed exactly once.
+func TestEveryGrantIsRemovedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewGrantTable()
+		table := NewGrantTable()
 		inFlight := make(map[dispatch.EndpointID]int)
 		granted := make(map[GrantID]time.Time)
 		now := start
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			ticket := GrantID{Requester: rapid.Uint64Range(1, 3).Draw(t, "asker"), Seq: rapid.Uint64Range(1, 12).Draw(t, "seq")}
+			id := GrantID{Requester: rapid.Uint64Range(1, 3).Draw(t, "requester"), Seq: rapid.Uint64Range(1, 12).Draw(t, "seq")}
 			endpoint := dispatch.EndpointID(rapid.Uint32Range(1, 4).Draw(t, "endpoint"))
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				until := now.Add(time.Second)
-				if l.Add(ticket, endpoint, until) {
-					if _, twice := granted[ticket]; twice {
-						t.Fatalf("ticket %v granted twice", ticket)
+				expires := now.Add(time.Second)
+				if table.Add(id, endpoint, expires) {
+					if _, twice := granted[id]; twice {
+						t.Fatalf("grant %v added twice", id)
 					}
-					granted[ticket] = until
+					granted[id] = expires
 					inFlight[endpoint]++
 				}
 			case 1:
-				if id, ok := l.Remove(ticket); ok {
-					delete(granted, ticket)
-					inFlight[id]--
+				if endpoint, ok := table.Remove(id); ok {
+					delete(granted, id)
+					inFlight[endpoint]--
 				}
 			default:
-				for _, id := range l.Expire(now) {
-					inFlight[id]--
+				for _, endpoint := range table.Expire(now) {
+					inFlight[endpoint]--
 				}
-				for k, until := range granted {
-					if !now.Before(until) {
+				for k, expires := range granted {
+					if !now.Before(expires) {
 						delete(granted, k)
 					}
 				}
 			}
 			sum := 0
-			for id, n := range inFlight {
+			for endpoint, n := range inFlight {
 				if n < 0 {
-					t.Fatalf("endpoint %d has %d in flight", id, n)
+					t.Fatalf("endpoint %d has %d in flight", endpoint, n)
 				}
 				sum += n
 			}
-			if sum != l.Len() || sum != len(granted) {
-				t.Fatalf("%d in flight, %d in the ledger, %d granted", sum, l.Len(), len(granted))
+			if sum != table.Len() || sum != len(granted) {
+				t.Fatalf("%d in flight, %d in the table, %d granted", sum, table.Len(), len(granted))
 			}
 		}
 	})
--- a/coord/broker/rank.go
+++ b/coord/broker/rank.go
@@ -9,35 +9,36 @@
 	"github.com/damaskcove/damaskcove/coord/internal/mix"
 )
 
-// Instance is one instance that may become a keeper.
+// Instance is an instance that may be a coordinator.
 type Instance struct {
-	Incarnation uint64  // Names one life of the instance.
-	Key         string  // Orders instances with links alike; it outlives a restart.
-	LinkMbps    float64 // Mbit/s of its link, which goes with its processor.
+	Incarnation uint64  // Changes when the instance restarts.
+	Key         string  // Stays the same over a restart; it orders instances with equal links.
+	LinkMbps    float64 // A stand-in for the size of the machine: faster links come with faster processors.
 }
 
 const (
-	// MaxCoordinators is the most keepers of a zone.
+	// MaxCoordinators is the most coordinators of a zone.
 	MaxCoordinators = 3
-	// keepersLeast is the fewest, so that the death of one leaves another.
-	keepersLeast = 2
+	// minCoordinators is the fewest, so that one remains when another fails.
+	minCoordinators = 2
 )
 
-// Coordinators returns the keepers of a zone: its instances with the fastest links, two or three.
-// The order of list is changed.
+// Coordinators returns the coordinators of a zone: its two or three instances with the fastest
+// links. It reorders list.
 func Coordinators(list []Instance) []Instance {
 	slices.SortFunc(list, func(a, b Instance) int {
 		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.Key, b.Key))
 	})
 	n := 0
-	for n < min(len(list), MaxCoordinators) && (n < keepersLeast || list[n].LinkMbps == list[0].LinkMbps) {
+	for n < min(len(list), MaxCoordinators) && (n < minCoordinators || list[n].LinkMbps == list[0].LinkMbps) {
 		n++
 	}
 	return list[:n]
 }
 
-// Rank returns the keepers in the order in which they place a service's requests.
-func Rank(service string, keepers []Instance) []Instance {
+// Rank orders the coordinators by rendezvous hashing. The first one that responds is the
+// service's broker.
+func Rank(service string, coordinators []Instance) []Instance {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(service)) // It never fails.
 	salt := h.Sum64()
@@ -46,33 +47,33 @@
 		_, _ = k.Write([]byte(i.Key))
 		return mix.Mix(k.Sum64() ^ salt)
 	}
-	ranked := slices.Clone(keepers)
+	ranked := slices.Clone(coordinators)
 	slices.SortFunc(ranked, func(a, b Instance) int {
 		return cmp.Or(cmp.Compare(weight(b), weight(a)), cmp.Compare(a.Key, b.Key))
 	})
 	return ranked
 }
 
-// suspectFor is how long a broker that did not answer is passed over.
-const suspectFor = time.Second
+// suspectTimeout is how long a broker that did not reply is skipped.
+const suspectTimeout = time.Second
 
-// Suspects are the brokers that did not answer lately. The zero value holds none.
+// Suspects are the brokers that did not reply recently. The zero value is empty and ready for use.
 type Suspects struct {
 	until map[uint64]time.Time
 }
 
-// Add notes that a broker did not answer.
-func (s *Suspects) Add(now time.Time, life uint64) {
+// Add records that a broker did not reply.
+func (s *Suspects) Add(now time.Time, incarnation uint64) {
 	if s.until == nil {
 		s.until = make(map[uint64]time.Time)
 	}
-	s.until[life] = now.Add(suspectFor)
+	s.until[incarnation] = now.Add(suspectTimeout)
 }
 
-// Pick returns the first of some brokers that is not suspect; ok is false where all are.
+// Pick returns the first of ranked that is not suspect; ok is false if all are.
 func (s *Suspects) Pick(now time.Time, ranked []Instance) (_ Instance, ok bool) {
 	for _, i := range ranked {
-		if until, silent := s.until[i.Incarnation]; !silent || !now.Before(until) {
+		if until, suspect := s.until[i.Incarnation]; !suspect || !now.Before(until) {
 			delete(s.until, i.Incarnation)
 			return i, true
 		}
@@ -80,8 +81,8 @@
 	return Instance{}, false
 }
 
-// BrokerZone returns the zone whose brokers place work on the endpoints of a zone: itself where it
-// has instances, else one of those that do.
+// BrokerZone returns the zone whose brokers place requests on the endpoints of a zone: the zone
+// itself if it has instances, else one of those that have.
 func BrokerZone(zone string, withInstances []string) string {
 	if len(withInstances) == 0 || slices.Contains(withInstances, zone) {
 		return zone
--- a/coord/following/following.go
+++ b/coord/following/following.go
@@ -1,80 +1,82 @@
-// Package following decides which instances follow the platform's store themselves and
-// which take its changes from others.
+// Package following decides which instances follow the platform's store themselves, and which
+// receive its changes from other instances.
 //
-// The load patterns that it answers: each change wakes the watch of every instance, so that
-// calls of the store grow with the fleet times its changes; and a store that refuses a few
-// instances leaves these behind, though others in their zone hear of every change.
+// If all instances watched the store, each change would wake the watch of every instance, and
+// the calls of the store would grow with the size of the fleet times the rate of changes. And if
+// the store refused a few instances, these would become stale although others in their zone
+// receive every change.
 //
-// In each availability zone the instances of the lowest keys follow the store, and tell the
-// others. One that dies, is cut off or is refused by the store says so or falls silent, and
-// the next in line follows. An instance that hears of no follower follows itself.
+// In each availability zone the instances with the lowest keys follow the store and forward its
+// changes to the others. A follower that fails, is partitioned off or is refused by the store
+// reports that or stops sending, and the next instance by key takes over. An instance that
+// receives messages of no follower follows the store itself.
 package following
 
 import "time"
 
-// FollowersPerZone is the number of instances of a zone that follow the store: two, so that the
-// changes reach the others while one of them hangs unnoticed.
+// FollowersPerZone is the number of instances of a zone that follow the store: two, so that
+// changes reach the others while the failure of one is not yet detected.
 const FollowersPerZone = 2
 
-// turnTime is how long each instance that comes before another in line may take to follow
-// and to say so: a call of the store and a message, many times over.
-const turnTime = 200 * time.Millisecond
+// takeoverDelay is how long an instance waits for each other one with a lower key to follow and
+// to report it: many times a call of the store and a message.
+const takeoverDelay = 200 * time.Millisecond
 
-// Peer is another instance of the same availability zone that has been heard lately.
+// Peer is another instance of the same availability zone that has sent a message recently.
 type Peer struct {
-	Key       string // Orders the instances.
-	Following bool   // It follows the store, by its last message.
+	Key       string // Instances with lower keys are preferred.
+	Following bool   // By its last message it follows the store.
 }
 
-// Machine decides for one instance. It starts on duty, as it knows nobody.
+// Machine decides for one instance. It starts as a follower, without knowledge of any peer.
 type Machine struct {
-	self  string
-	off   bool
-	short time.Time // Since when there are too few followers; zero while there are enough.
+	self        string
+	passive     bool      // The instance does not follow the store.
+	tooFewSince time.Time // Since when there are too few followers; zero while there are enough.
 }
 
-// New returns the Machine of an instance.
+// New returns the Machine of the instance with a key.
 func New(self string) *Machine {
 	return &Machine{self: self}
 }
 
-// SetKey changes the instance's place in the order.
+// SetKey changes the instance's key.
 func (m *Machine) SetKey(self string) {
 	m.self = self
 }
 
-// ShouldFollow tells whether the instance is to follow the store itself.
+// ShouldFollow reports whether the instance is to follow the store itself.
 func (m *Machine) ShouldFollow(now time.Time, peers []Peer) bool {
-	follow, wait := 0, 0
+	followers, waiting := 0, 0
 	for _, p := range peers {
 		switch {
 		case p.Key > m.self:
 		case p.Following:
-			follow++
+			followers++
 		default:
-			wait++
+			waiting++
 		}
 	}
 	switch {
-	case follow >= FollowersPerZone:
-		m.off, m.short = true, time.Time{}
-	case !m.off:
-	case m.short.IsZero() && wait > 0:
-		m.short = now
-	case now.Sub(m.short) >= time.Duration(wait)*turnTime:
-		m.off = false
+	case followers >= FollowersPerZone:
+		m.passive, m.tooFewSince = true, time.Time{}
+	case !m.passive:
+	case m.tooFewSince.IsZero() && waiting > 0:
+		m.tooFewSince = now
+	case now.Sub(m.tooFewSince) >= time.Duration(waiting)*takeoverDelay:
+		m.passive = false
 	}
-	return !m.off
+	return !m.passive
 }
 
-// IsPreferredFollower tells whether the instance would follow the store if the store refused nobody. While
-// it refuses everybody, those in line ask often whether it is back, and the others seldom.
+// IsPreferredFollower reports whether the instance is to follow the store if the store refuses no
+// one. While it refuses all instances, preferred followers retry often and the others seldom.
 func (m *Machine) IsPreferredFollower(peers []Peer) bool {
-	before := 0
+	lower := 0
 	for _, p := range peers {
 		if p.Key < m.self {
-			before++
+			lower++
 		}
 	}
-	return before < FollowersPerZone
+	return lower < FollowersPerZone
 }
--- a/coord/following/following_test.go
+++ b/coord/following/following_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// zone is the instances of one zone, each with what it says of itself.
+// zone is the instances of one zone, with the state that each reports.
 type zone struct {
 	now       time.Time
 	machines  map[string]*Machine
-	turns     int // Times that an instance began to follow.
+	takeovers int // Times that an instance began to follow.
 	keys      []string
 	following map[string]bool
 	refused   map[string]bool // By the store.
-	silent    map[string]bool // Dead or cut off.
+	silent    map[string]bool // Failed or partitioned off.
 }
 
 func (z *zone) peersOf(self string) []Peer {
@@ -29,17 +29,17 @@
 	return peers
 }
 
-// settle lets every instance decide by what the others said last, for as long as all of them
-// in turn may take.
+// settle lets every instance decide by the last reports of the others, for as long as takeovers
+// by all of them one after the other may take.
 func (z *zone) settle() {
 	for range 2*len(z.keys) + 2 {
-		z.now = z.now.Add(turnTime / 2)
+		z.now = z.now.Add(takeoverDelay / 2)
 		for _, k := range z.keys {
-			on := !z.silent[k] && z.machines[k].ShouldFollow(z.now, z.peersOf(k)) && !z.refused[k]
-			if on && !z.following[k] {
-				z.turns++
+			follows := !z.silent[k] && z.machines[k].ShouldFollow(z.now, z.peersOf(k)) && !z.refused[k]
+			if follows && !z.following[k] {
+				z.takeovers++
 			}
-			z.following[k] = on
+			z.following[k] = follows
 		}
 	}
 }
@@ -55,8 +55,8 @@
 	return z
 }
 
-// The load that it answers: instances die, are refused by the store and come back, in any order.
-func TestAZoneHasItsFollowersWhateverHappensToTheOthers(t *testing.T) {
+// Instances fail, are refused by the store and recover, in any order.
+func TestZoneKeepsItsFollowers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := newZone(rapid.IntRange(1, 9).Draw(t, "instances"))
 		for range rapid.IntRange(1, 20).Draw(t, "events") {
@@ -72,47 +72,47 @@
 				z.refused[k] = false
 			}
 			z.settle()
-			able, follow := 0, 0
+			able, followers := 0, 0
 			for _, k := range z.keys {
 				if !z.silent[k] && !z.refused[k] {
 					able++
 				}
 				if z.following[k] && !z.silent[k] {
-					follow++
+					followers++
 				}
 			}
-			if want := min(able, FollowersPerZone); follow != want {
-				t.Fatalf("%d instances follow the store, want %d of %d that can: %+v", follow, want, able, z)
+			if want := min(able, FollowersPerZone); followers != want {
+				t.Fatalf("%d instances follow the store, want %d of %d that can: %+v", followers, want, able, z)
 			}
 		}
 	})
 }
 
-func TestOneThatHearsNobodyFollowsItself(t *testing.T) {
+func TestInstanceWithoutPeersFollows(t *testing.T) {
 	m := New("z")
 	if !m.ShouldFollow(time.Unix(1000, 0), nil) || !m.IsPreferredFollower(nil) {
-		t.Error("an instance alone does not follow the store")
+		t.Error("an instance without peers does not follow the store")
 	}
 }
 
-// The load that it answers: a follower dies in a large zone. The next in line takes over at
-// once, and not everybody at once.
-func TestOneTakesOverFromOneThatDied(t *testing.T) {
+// A follower fails in a large zone. Only the next instance by key takes over, at once, and not
+// all of them.
+func TestOneInstanceTakesOver(t *testing.T) {
 	z := newZone(40)
-	z.turns = 0
+	z.takeovers = 0
 	z.silent["instances/edge-00"] = true
 	z.settle()
-	if z.turns != 1 || !z.following["instances/edge-02"] {
-		t.Errorf("%d instances took over from one: %v", z.turns, z.following)
+	if z.takeovers != 1 || !z.following["instances/edge-02"] {
+		t.Errorf("%d instances took over from one: %v", z.takeovers, z.following)
 	}
 }
 
-// The load that it answers: the store is away, and nobody follows it.
-func TestTheFirstAreInLineWhoeverFollows(t *testing.T) {
+// The store is unavailable, and no instance follows it.
+func TestPreferredFollowersHaveTheLowestKeys(t *testing.T) {
 	peers := []Peer{{Key: "a"}, {Key: "b"}, {Key: "d"}}
-	for self, inLine := range map[string]bool{"0": true, "aa": true, "c": false, "e": false} {
-		if got := New(self).IsPreferredFollower(peers); got != inLine {
-			t.Errorf("%q in line: %t, want %t", self, got, inLine)
+	for self, preferred := range map[string]bool{"0": true, "aa": true, "c": false, "e": false} {
+		if got := New(self).IsPreferredFollower(peers); got != preferred {
+			t.Errorf("%q preferred: %t, want %t", self, got, preferred)
 		}
 	}
 }
--- a/coord/pause/pause_test.go
+++ b/coord/pause/pause_test.go
@@ -12,33 +12,32 @@
 		last, now time.Time
 		paused    bool
 	}{
-		"first beat":                  {time.Time{}, start, false},
-		"regular":                     {start, start.Add(interval), false},
-		"late":                        {start, start.Add(MinPause - time.Millisecond), false},
-		"stopped":                     {start, start.Add(MinPause), true},
-		"suspended: time of day":      {start.Round(0), start.Round(0).Add(4 * time.Second), true},
-		"time of day set back":        {start.Round(0).Add(4 * time.Second), start.Round(0), false},
-		"set back while it is paused": {start, start.Add(MinPause), true},
+		"first heartbeat":                  {time.Time{}, start, false},
+		"regular":                          {start, start.Add(interval), false},
+		"late":                             {start, start.Add(MinPause - time.Millisecond), false},
+		"stopped":                          {start, start.Add(MinPause), true},
+		"suspended: wall clock":            {start.Round(0), start.Round(0).Add(4 * time.Second), true},
+		"wall clock set back":              {start.Round(0).Add(4 * time.Second), start.Round(0), false},
+		"wall clock set back while paused": {start, start.Add(MinPause), true},
 	} {
 		var d Detector
 		if !tc.last.IsZero() {
 			d.Beat(tc.last)
 		}
 		if got := d.MayBeStale(tc.now); got != tc.paused {
-			t.Errorf("%s: doubtful before the beat: %v", name, got)
+			t.Errorf("%s: stale before the heartbeat: %v", name, got)
 		}
 		if got := d.Beat(tc.now); got != tc.paused {
 			t.Errorf("%s: paused %v", name, got)
 		}
 		if got := d.MayBeStale(tc.now); got != tc.paused {
-			t.Errorf("%s: doubtful after the beat: %v", name, got)
+			t.Errorf("%s: stale after the heartbeat: %v", name, got)
 		}
 	}
 }
 
-// The load that it answers: a machine five times slower, on which taking in everything that
-// was read takes longer than a pause.
-func TestSlowWorkIsNotOnePauseAfterTheOther(t *testing.T) {
+// On a machine five times slower, each full refresh takes longer than the shortest pause.
+func TestSlowRefreshIsNotAnotherPause(t *testing.T) {
 	now := time.Now()
 	var d Detector
 	d.Beat(now)
@@ -55,23 +54,23 @@
 	}
 }
 
-func TestDoubtEndsWithNewsOrWithTheGrace(t *testing.T) {
+func TestStateIsStaleUntilRefreshOrTimeout(t *testing.T) {
 	start := time.Now()
-	woken := start.Add(4 * time.Second)
+	resumed := start.Add(4 * time.Second)
 	var d Detector
 	d.Beat(start)
-	d.Beat(woken)
-	if !d.MayBeStale(woken.Add(RefreshTimeout - time.Millisecond)) {
-		t.Error("no doubt before any news")
+	d.Beat(resumed)
+	if !d.MayBeStale(resumed.Add(RefreshTimeout - time.Millisecond)) {
+		t.Error("not stale before a refresh")
 	}
-	if d.Beat(woken.Add(RefreshTimeout)); d.MayBeStale(woken.Add(RefreshTimeout)) {
-		t.Error("doubt goes on after the grace")
+	if d.Beat(resumed.Add(RefreshTimeout)); d.MayBeStale(resumed.Add(RefreshTimeout)) {
+		t.Error("still stale after the timeout")
 	}
-	d.Beat(woken.Add(8 * time.Second))
-	if d.Refreshed(woken); !d.MayBeStale(woken.Add(8 * time.Second)) {
-		t.Error("doubt ends with news that was asked for before the pause")
+	d.Beat(resumed.Add(8 * time.Second))
+	if d.Refreshed(resumed); !d.MayBeStale(resumed.Add(8 * time.Second)) {
+		t.Error("not stale after a refresh that was requested before the pause")
 	}
-	if d.Refreshed(woken.Add(8 * time.Second)); d.MayBeStale(woken.Add(8 * time.Second)) {
-		t.Error("doubt goes on after news")
+	if d.Refreshed(resumed.Add(8 * time.Second)); d.MayBeStale(resumed.Add(8 * time.Second)) {
+		t.Error("still stale after a refresh")
 	}
 }
