--- a/coord/pause/pause_test.go
+++ b/coord/pause/pause_test.go
@@ -12,33 +12,32 @@
 		last, now time.Time
 		paused    bool
 	}{
-		"first beat":                  {time.Time{}, start, false},
-		"regular":                     {start, start.Add(interval), false},
-		"late":                        {start, start.Add(Least - time.Millisecond), false},
-		"stopped":                     {start, start.Add(Least), true},
-		"suspended: time of day":      {start.Round(0), start.Round(0).Add(4 * time.Second), true},
-		"time of day set back":        {start.Round(0).Add(4 * time.Second), start.Round(0), false},
-		"set back while it is paused": {start, start.Add(Least), true},
+		"first heartbeat":                  {time.Time{}, start, false},
+		"regular":                          {start, start.Add(interval), false},
+		"late":                             {start, start.Add(MinPause - time.Millisecond), false},
+		"stopped":                          {start, start.Add(MinPause), true},
+		"suspended: wall clock":            {start.Round(0), start.Round(0).Add(4 * time.Second), true},
+		"wall clock set back":              {start.Round(0).Add(4 * time.Second), start.Round(0), false},
+		"wall clock set back while paused": {start, start.Add(MinPause), true},
 	} {
 		var d Detector
 		if !tc.last.IsZero() {
 			d.Beat(tc.last)
 		}
-		if got := d.Doubtful(tc.now); got != tc.paused {
-			t.Errorf("%s: doubtful before the beat: %v", name, got)
+		if got := d.MayBeStale(tc.now); got != tc.paused {
+			t.Errorf("%s: stale before the heartbeat: %v", name, got)
 		}
 		if got := d.Beat(tc.now); got != tc.paused {
 			t.Errorf("%s: paused %v", name, got)
 		}
-		if got := d.Doubtful(tc.now); got != tc.paused {
-			t.Errorf("%s: doubtful after the beat: %v", name, got)
+		if got := d.MayBeStale(tc.now); got != tc.paused {
+			t.Errorf("%s: stale after the heartbeat: %v", name, got)
 		}
 	}
 }
 
-// The load that it answers: a machine five times slower, on which taking in everything that
-// was read takes longer than a pause.
-func TestSlowWorkIsNotOnePauseAfterTheOther(t *testing.T) {
+// On a machine five times slower, each full refresh takes longer than the shortest pause.
+func TestSlowRefreshIsNotAnotherPause(t *testing.T) {
 	now := time.Now()
 	var d Detector
 	d.Beat(now)
@@ -47,31 +46,31 @@
 	for at := time.Duration(0); at < spent; at += work {
 		if d.Beat(now.Add(at)) {
 			pauses++
-			d.Renewed(now.Add(at))
+			d.Refreshed(now.Add(at))
 		}
 	}
-	if most := int(spent / Rest); pauses == 0 || pauses > most {
+	if most := int(spent / Cooldown); pauses == 0 || pauses > most {
 		t.Errorf("%d pauses in %s, at most %d", pauses, spent, most)
 	}
 }
 
-func TestDoubtEndsWithNewsOrWithTheGrace(t *testing.T) {
+func TestStateIsStaleUntilRefreshOrTimeout(t *testing.T) {
 	start := time.Now()
-	woken := start.Add(4 * time.Second)
+	resumed := start.Add(4 * time.Second)
 	var d Detector
 	d.Beat(start)
-	d.Beat(woken)
-	if !d.Doubtful(woken.Add(Grace - time.Millisecond)) {
-		t.Error("no doubt before any news")
+	d.Beat(resumed)
+	if !d.MayBeStale(resumed.Add(RefreshTimeout - time.Millisecond)) {
+		t.Error("not stale before a refresh")
 	}
-	if d.Beat(woken.Add(Grace)); d.Doubtful(woken.Add(Grace)) {
-		t.Error("doubt goes on after the grace")
+	if d.Beat(resumed.Add(RefreshTimeout)); d.MayBeStale(resumed.Add(RefreshTimeout)) {
+		t.Error("still stale after the timeout")
 	}
-	d.Beat(woken.Add(8 * time.Second))
-	if d.Renewed(woken); !d.Doubtful(woken.Add(8 * time.Second)) {
-		t.Error("doubt ends with news that was asked for before the pause")
+	d.Beat(resumed.Add(8 * time.Second))
+	if d.Refreshed(resumed); !d.MayBeStale(resumed.Add(8 * time.Second)) {
+		t.Error("not stale after a refresh that was requested before the pause")
 	}
-	if d.Renewed(woken.Add(8 * time.Second)); d.Doubtful(woken.Add(8 * time.Second)) {
-		t.Error("doubt goes on after news")
+	if d.Refreshed(resumed.Add(8 * time.Second)); d.MayBeStale(resumed.Add(8 * time.Second)) {
+		t.Error("still stale after a refresh")
 	}
 }
