--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -119,12 +119,12 @@
 	return *c.table.Load()
 }
 
-// Kinds implements control.Duty.
+// Kinds implements control.Component.
 func (c *Claims) Kinds() []wire.Kind {
 	return []wire.Kind{wire.KindClaim, wire.KindOutcomeLookup, wire.KindOutcomeReply}
 }
 
-// Deliver implements control.Duty.
+// Deliver implements control.Component.
 func (c *Claims) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	switch e.Kind {
 	case wire.KindClaim:
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// Tick implements control.Duty.
+// Tick implements control.Component.
 func (c *Claims) Tick(now time.Time) {
 	c.apply(c.machine.Tick(now))
 	c.resendLookups(now)
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -129,7 +129,7 @@
 		f.kill(home)
 		next := fleet.Ref{ID: "reborn", Incarnation: 2}
 		f.start(next, claim.Limits{})
-		f.expect("relayed", f.nodes[next].claims.Relayed(context.Background(), third, claim.RoleHome, r), result.CodeTicketIncarnation, result.Unknown)
+		f.expect("relayed", f.nodes[next].claims.HandleRelayed(context.Background(), third, claim.RoleHome, r), result.CodeTicketIncarnation, result.Unknown)
 		f.expect("order", f.do(next, r), result.CodeAnswered, result.Ran)
 		f.expectRuns(1)
 	})
--- a/internal/claims/fleet_test.go
+++ b/internal/claims/fleet_test.go
@@ -169,7 +169,7 @@
 		}
 		there, cancel := context.WithDeadline(context.Background(), r.Deadline)
 		defer cancel()
-		a := n.f.nodes[to].claims.Relayed(there, n.ref, role, r)
+		a := n.f.nodes[to].claims.HandleRelayed(there, n.ref, role, r)
 		if n.f.passes(to, n.ref) {
 			reply <- a
 		}
--- a/internal/claims/route.go
+++ b/internal/claims/route.go
@@ -50,8 +50,8 @@
 	return homeFirst(ctx, r.Deadline, home, witness)
 }
 
-// Relayed runs a keyed request that another instance passed on, in the part that it asks for.
-func (c *Claims) Relayed(ctx context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer {
+// HandleRelayed runs a keyed request that another instance passed on, in the part that it asks for.
+func (c *Claims) HandleRelayed(ctx context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer {
 	ctx, r, cancel := withDeadline(ctx, r)
 	defer cancel()
 	s, refusal, ok := c.submission(r)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -46,7 +46,7 @@
 	Sender          control.Sender
 	Store           metastore.Store
 	Budget          *storecall.Budget // Nil for no bound.
-	Members         *members.Duty
+	Members         *members.Manager
 	Log             *slog.Logger
 	// OnApply is told of each configuration put in force, on the control goroutine.
 	OnApply func(now time.Time, c *rollout.Config)
@@ -108,12 +108,12 @@
 	d.run(now, d.machine.Tick(now))
 }
 
-// Kinds implements control.Duty.
+// Kinds implements control.Component.
 func (d *Duty) Kinds() []wire.Kind {
 	return []wire.Kind{wire.KindRollout}
 }
 
-// Deliver implements control.Duty. It returns wire.ErrMalformed.
+// Deliver implements control.Component. It returns wire.ErrMalformed.
 func (d *Duty) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	var msg rollout.Message
 	if err := wire.DecodeBody(e, &msg); err != nil {
@@ -123,12 +123,12 @@
 	return nil
 }
 
-// Tick implements control.Duty.
+// Tick implements control.Component.
 func (d *Duty) Tick(now time.Time) {
 	if d.o.Members.Snapshot() != d.seen {
 		d.follow(now)
 	}
-	if ahead, revision, ok := d.o.Members.Ahead(); ok {
+	if ahead, revision, ok := d.o.Members.NeighbourAhead(); ok {
 		d.run(now, d.machine.PeerRevision(now, ahead.Ref, revision))
 	}
 	d.refresh(now)
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -31,7 +31,7 @@
 type instance struct {
 	ref     fleet.Ref
 	loop    *control.Loop
-	members *members.Duty
+	members *members.Manager
 	config  *config.Duty
 	stop    context.CancelFunc
 	net     *network
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -13,8 +13,8 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// Duty is one slice of control state. All its methods run on the control goroutine.
-type Duty interface {
+// Component is one slice of control state. All its methods run on the control goroutine.
+type Component interface {
 	// Kinds lists the kinds of message that the duty takes.
 	Kinds() []wire.Kind
 	// Deliver hands over a message from one life of an instance. An error is counted and logged.
@@ -29,7 +29,7 @@
 	Send(to fleet.Ref, kind wire.Kind, body any)
 }
 
-// TickInterval is the time between two calls of Duty.Tick.
+// TickInterval is the time between two calls of Component.Tick.
 const TickInterval = 50 * time.Millisecond
 
 // queueLength bounds the events that wait for the control goroutine.
@@ -39,8 +39,8 @@
 type Loop struct {
 	events chan func(now time.Time)
 	done   chan struct{}
-	duties []Duty
-	routes map[wire.Kind]Duty
+	duties []Component
+	routes map[wire.Kind]Component
 	failed func(from fleet.Ref, kind wire.Kind, err error)
 }
 
@@ -49,13 +49,13 @@
 	return &Loop{
 		events: make(chan func(now time.Time), queueLength),
 		done:   make(chan struct{}),
-		routes: make(map[wire.Kind]Duty),
+		routes: make(map[wire.Kind]Component),
 		failed: failed,
 	}
 }
 
 // Add registers a duty. It must be called before Run.
-func (l *Loop) Add(d Duty) {
+func (l *Loop) Add(d Component) {
 	l.duties = append(l.duties, d)
 	for _, kind := range d.Kinds() {
 		l.routes[kind] = d
--- a/internal/endpoints/former.go
+++ b/internal/endpoints/former.go
@@ -77,7 +77,7 @@
 // note records the lives among the carriers that a later life has followed.
 func (e *endedLives) note(now time.Time, p Placement, carriers []fleet.Instance) {
 	for _, c := range carriers {
-		life, ok := p.Life(c.Ref.ID)
+		life, ok := p.Incarnation(c.Ref.ID)
 		if _, known := e.since[c.Ref]; !known && ok && life > c.Ref.Incarnation {
 			e.since[c.Ref] = now
 		}
--- a/internal/endpoints/duty.go
+++ b/internal/endpoints/manager.go
@@ -23,9 +23,9 @@
 // what this instance takes to be alive.
 type Placement interface {
 	Carriers(s fleet.Service, count int) []fleet.Instance
-	Judge(s fleet.Service) (fleet.Instance, bool)
-	// Life returns the incarnation of an instance on the roster.
-	Life(id fleet.InstanceID) (fleet.Incarnation, bool)
+	Evaluator(s fleet.Service) (fleet.Instance, bool)
+	// Incarnation returns the incarnation of an instance on the roster.
+	Incarnation(id fleet.InstanceID) (fleet.Incarnation, bool)
 }
 
 // Publish is told the targets of a service whenever they change; nil when the service is not carried.
@@ -45,8 +45,8 @@
 	Tracer   trace.Tracer // None when nil.
 }
 
-// Duty is the health of all services at one instance.
-type Duty struct {
+// Manager is the health of all services at one instance.
+type Manager struct {
 	options    Options
 	self       fleet.Instance
 	generation uint64
@@ -76,23 +76,23 @@
 	}
 }
 
-// NewDuty returns a duty that holds nothing until it has a configuration, a fleet and a listing.
-func NewDuty(o Options) *Duty {
+// NewManager returns a duty that holds nothing until it has a configuration, a fleet and a listing.
+func NewManager(o Options) *Manager {
 	o.setDefaults()
-	d := &Duty{options: o, services: make(map[fleet.Service]*service)}
+	d := &Manager{options: o, services: make(map[fleet.Service]*service)}
 	d.ended = newEndedLives(o.Health.VoteLease + o.Health.DriftMargin)
 	d.status.Store(&Status{})
 	return d
 }
 
 // SetConfig takes a newer configuration.
-func (d *Duty) SetConfig(now time.Time, c *rollout.Config) {
+func (d *Manager) SetConfig(now time.Time, c *rollout.Config) {
 	d.config = c
 	d.configure(now)
 }
 
 // SetFleet takes the roster's generation, who carries and judges what, and this instance.
-func (d *Duty) SetFleet(now time.Time, generation uint64, p Placement, self fleet.Instance) {
+func (d *Manager) SetFleet(now time.Time, generation uint64, p Placement, self fleet.Instance) {
 	d.generation = generation
 	d.placement = p
 	d.self = self
@@ -102,13 +102,13 @@
 }
 
 // SetListing takes a newer list of the platform.
-func (d *Duty) SetListing(now time.Time, l metastore.Listing) {
+func (d *Manager) SetListing(now time.Time, l metastore.Listing) {
 	d.listing = l
 	d.configure(now)
 }
 
-// Leaving notes that an upstream endpoint itself said that it is leaving. It gets no new work at once.
-func (d *Duty) Leaving(now time.Time, s fleet.Service, e fleet.Endpoint) {
+// MarkLeaving notes that an upstream endpoint itself said that it is leaving. It gets no new work at once.
+func (d *Manager) MarkLeaving(now time.Time, s fleet.Service, e fleet.Endpoint) {
 	if state := d.services[s]; state != nil {
 		state.leaving[e] = now
 		d.configure(now)
@@ -117,17 +117,17 @@
 }
 
 // Observe takes one attempt. Any goroutine may call it; it never waits for control.
-func (d *Duty) Observe(s fleet.Service, a health.Attempt) {
+func (d *Manager) Observe(s fleet.Service, a health.Attempt) {
 	d.attempts.add(s, a)
 }
 
 // Dropped returns the number of attempts that Observe dropped because too many waited.
-func (d *Duty) Dropped() uint64 {
+func (d *Manager) Dropped() uint64 {
 	return d.attempts.dropped.Load()
 }
 
 // configure brings every service in line with the configuration, the fleet and the listing.
-func (d *Duty) configure(now time.Time) {
+func (d *Manager) configure(now time.Time) {
 	if d.config == nil || d.placement == nil {
 		return
 	}
@@ -150,12 +150,12 @@
 }
 
 // Kinds lists the messages that the duty takes.
-func (d *Duty) Kinds() []wire.Kind {
-	return []wire.Kind{wire.KindEvidence, wire.KindVerdict}
+func (d *Manager) Kinds() []wire.Kind {
+	return []wire.Kind{wire.KindEvidence, wire.KindDecision}
 }
 
 // Deliver takes evidence for the judges or verdicts for the carriers of this instance.
-func (d *Duty) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
+func (d *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	switch e.Kind {
 	case wire.KindEvidence:
 		var body ServiceEvidence
@@ -163,8 +163,8 @@
 			return err
 		}
 		return d.deliverEvidence(now, from, body)
-	case wire.KindVerdict:
-		var body ServiceVerdict
+	case wire.KindDecision:
+		var body ServiceDecision
 		if err := wire.DecodeBody(e, &body); err != nil {
 			return err
 		}
@@ -175,7 +175,7 @@
 }
 
 // Tick sends what is due, moves probation on and publishes changed targets.
-func (d *Duty) Tick(now time.Time) {
+func (d *Manager) Tick(now time.Time) {
 	d.attempts.take(func(a attempt) {
 		if state := d.services[a.service]; state != nil && state.carrying {
 			state.carrier.Observe(now, a.Attempt)
--- a/internal/endpoints/duty_test.go
+++ b/internal/endpoints/manager_test.go
@@ -23,9 +23,9 @@
 
 func (p fixedPlacement) Carriers(fleet.Service, int) []fleet.Instance { return p }
 
-func (p fixedPlacement) Judge(fleet.Service) (fleet.Instance, bool) { return p[0], true }
+func (p fixedPlacement) Evaluator(fleet.Service) (fleet.Instance, bool) { return p[0], true }
 
-func (p fixedPlacement) Life(id fleet.InstanceID) (fleet.Incarnation, bool) {
+func (p fixedPlacement) Incarnation(id fleet.InstanceID) (fleet.Incarnation, bool) {
 	for _, in := range p {
 		if in.Ref.ID == id {
 			return in.Ref.Incarnation, true
@@ -48,7 +48,7 @@
 type testNode struct {
 	network *network
 	self    fleet.Instance
-	duty    *Duty
+	duty    *Manager
 	targets []routing.Target
 	cut     bool
 }
@@ -98,7 +98,7 @@
 // add starts one life of an instance, which knows the list and the configuration.
 func (n *network) add(self fleet.Instance) *testNode {
 	node := &testNode{network: n, self: self}
-	node.duty = NewDuty(Options{
+	node.duty = NewManager(Options{
 		Sender: node,
 		Log:    slog.New(slog.NewJSONHandler(io.Discard, nil)),
 		Publish: func(_ fleet.Service, targets []routing.Target, _ rollout.ServiceTemplate) {
@@ -186,7 +186,7 @@
 		t.Fatalf("healthy endpoint is in service at %d of %d instances", open, of)
 	}
 	status := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}].duty.Status()
-	if len(status.Services) != 1 || !status.Services[0].Judging || status.Services[0].BudgetSlots != 12 {
+	if len(status.Services) != 1 || !status.Services[0].Evaluating || status.Services[0].BudgetSlots != 12 {
 		t.Fatalf("status %+v, want the judge of one service with a budget of 12 slots", status.Services)
 	}
 }
@@ -209,7 +209,7 @@
 	n := newNetwork(t, 1, 3)
 	n.run(time.Second, "")
 	node := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}]
-	node.duty.Leaving(n.now, catalogue, "10.0.0.1:80")
+	node.duty.MarkLeaving(n.now, catalogue, "10.0.0.1:80")
 	if count, of := n.standings("10.0.0.1:80", routing.StateLeaving); count != 1 || of != 1 {
 		t.Fatalf("leaving upstream has that standing at %d of %d instances", count, of)
 	}
--- a/internal/endpoints/message.go
+++ b/internal/endpoints/message.go
@@ -16,13 +16,13 @@
 	Evidence health.Evidence `cbor:"2,keyasint"`
 }
 
-// ServiceVerdict carries the verdicts of one judge instance on several services to one carrier instance.
-type ServiceVerdict struct {
-	Entries []VerdictEntry `cbor:"1,keyasint"`
+// ServiceDecision carries the verdicts of one judge instance on several services to one carrier instance.
+type ServiceDecision struct {
+	Entries []DecisionEntry `cbor:"1,keyasint"`
 }
 
-// VerdictEntry is the verdict on one service.
-type VerdictEntry struct {
-	Service fleet.Service   `cbor:"1,keyasint"`
-	Verdict health.Decision `cbor:"2,keyasint"`
+// DecisionEntry is the verdict on one service.
+type DecisionEntry struct {
+	Service  fleet.Service   `cbor:"1,keyasint"`
+	Decision health.Decision `cbor:"2,keyasint"`
 }
--- a/internal/endpoints/outbox.go
+++ b/internal/endpoints/outbox.go
@@ -13,7 +13,7 @@
 // outbox gathers messages by destination, so that one envelope carries those of several services.
 type outbox struct {
 	evidence map[fleet.Ref]*ServiceEvidence
-	verdicts map[fleet.Ref]*ServiceVerdict
+	verdicts map[fleet.Ref]*ServiceDecision
 }
 
 func (o *outbox) add(service fleet.Service, sends []health.Send) {
@@ -22,7 +22,7 @@
 			o.addEvidence(s.To, EvidenceEntry{Service: service, Evidence: *s.Evidence})
 		}
 		if s.Decision != nil {
-			o.addVerdict(s.To, VerdictEntry{Service: service, Verdict: *s.Decision})
+			o.addVerdict(s.To, DecisionEntry{Service: service, Decision: *s.Decision})
 		}
 	}
 }
@@ -37,18 +37,18 @@
 	o.evidence[to].Entries = append(o.evidence[to].Entries, e)
 }
 
-func (o *outbox) addVerdict(to fleet.Ref, v VerdictEntry) {
+func (o *outbox) addVerdict(to fleet.Ref, v DecisionEntry) {
 	if o.verdicts == nil {
-		o.verdicts = make(map[fleet.Ref]*ServiceVerdict)
+		o.verdicts = make(map[fleet.Ref]*ServiceDecision)
 	}
 	if o.verdicts[to] == nil {
-		o.verdicts[to] = &ServiceVerdict{}
+		o.verdicts[to] = &ServiceDecision{}
 	}
 	o.verdicts[to].Entries = append(o.verdicts[to].Entries, v)
 }
 
 // flush sends an outbox. What goes to this instance itself is delivered at once.
-func (d *Duty) flush(now time.Time, o outbox) {
+func (d *Manager) flush(now time.Time, o outbox) {
 	for to, body := range o.evidence {
 		if to == d.self.Ref {
 			d.warn("evidence of this instance dropped", d.deliverEvidence(now, to, *body))
@@ -61,18 +61,18 @@
 			d.warn("verdict of this instance dropped", d.deliverVerdicts(now, to, *body))
 			continue
 		}
-		d.options.Sender.Send(to, wire.KindVerdict, *body)
+		d.options.Sender.Send(to, wire.KindDecision, *body)
 	}
 }
 
-func (d *Duty) warn(message string, err error) {
+func (d *Manager) warn(message string, err error) {
 	if err != nil {
 		d.options.Log.Warn(message, "error", err.Error())
 	}
 }
 
 // deliverEvidence hands evidence to the judges. Faults are joined; the other services' evidence still counts.
-func (d *Duty) deliverEvidence(now time.Time, from fleet.Ref, body ServiceEvidence) error {
+func (d *Manager) deliverEvidence(now time.Time, from fleet.Ref, body ServiceEvidence) error {
 	var answers outbox
 	var faults []error
 	for i := range body.Entries {
@@ -94,7 +94,7 @@
 }
 
 // deliverVerdicts hands verdicts to the carriers and publishes what they change.
-func (d *Duty) deliverVerdicts(now time.Time, from fleet.Ref, body ServiceVerdict) error {
+func (d *Manager) deliverVerdicts(now time.Time, from fleet.Ref, body ServiceDecision) error {
 	var faults []error
 	for i := range body.Entries {
 		entry := &body.Entries[i]
@@ -103,7 +103,7 @@
 			faults = append(faults, fmt.Errorf("%w: service %q is not carried here", health.ErrDecisionDropped, entry.Service))
 			continue
 		}
-		if err := state.carrier.Deliver(now, from, &entry.Verdict); err != nil {
+		if err := state.carrier.Deliver(now, from, &entry.Decision); err != nil {
 			faults = append(faults, err)
 			continue
 		}
--- a/internal/endpoints/service.go
+++ b/internal/endpoints/service.go
@@ -43,7 +43,7 @@
 const leavingFor = time.Minute
 
 // upstreams returns the listed endpoints of a service, without doubles and those without slots.
-func (d *Duty) upstreams(now time.Time, s *service) []fleet.Upstream {
+func (d *Manager) upstreams(now time.Time, s *service) []fleet.Upstream {
 	listed := d.listing.Upstreams[s.name]
 	kept := make([]fleet.Upstream, 0, len(listed))
 	seen := make(map[fleet.Endpoint]struct{}, len(listed))
@@ -62,7 +62,7 @@
 }
 
 // assign brings a service's carrier and judge in line with the fleet.
-func (d *Duty) assign(now time.Time, s *service) {
+func (d *Manager) assign(now time.Time, s *service) {
 	judge := d.place(now, s)
 	a := health.Assignment{Generation: d.generation, Evaluator: judge.Ref, Carriers: s.carriers, Former: s.formerCarriers()}
 	p := parametersOf(s.template)
@@ -83,20 +83,20 @@
 }
 
 // place looks up a service's carriers and judge when the fleet has changed.
-func (d *Duty) place(now time.Time, s *service) fleet.Instance {
+func (d *Manager) place(now time.Time, s *service) fleet.Instance {
 	if s.placed != d.placed {
 		s.placed = d.placed
 		s.setCarriers(now, sorted(d.placement.Carriers(s.name, d.options.Carriers)))
 		for _, f := range s.former {
 			d.ended.note(now, d.placement, f.carriers)
 		}
-		s.assigned, _ = d.placement.Judge(s.name)
+		s.assigned, _ = d.placement.Evaluator(s.name)
 	}
 	return s.assigned
 }
 
 // assignJudge makes or drops the judge of a service. A dropped judge's verdicts lapse by themselves.
-func (d *Duty) assignJudge(s *service, judge fleet.Ref) {
+func (d *Manager) assignJudge(s *service, judge fleet.Ref) {
 	s.judging = judge == d.self.Ref
 	switch {
 	case !s.judging:
@@ -106,12 +106,12 @@
 	}
 }
 
-func (d *Duty) isSelf(i fleet.Instance) bool {
+func (d *Manager) isSelf(i fleet.Instance) bool {
 	return i.Ref == d.self.Ref
 }
 
 // wasCarrier reports whether this instance is in a former set, and so still lends itself.
-func (d *Duty) wasCarrier(s *service) bool {
+func (d *Manager) wasCarrier(s *service) bool {
 	return slices.ContainsFunc(s.former, func(f formerSet) bool { return slices.ContainsFunc(f.carriers, d.isSelf) })
 }
 
--- a/internal/endpoints/status.go
+++ b/internal/endpoints/status.go
@@ -26,19 +26,19 @@
 
 // ServiceStatus is the health of one service as one instance sees it.
 type ServiceStatus struct {
-	Service         fleet.Service         `json:"service"`
-	Carrying        bool                  `json:"carrying"`
-	Judging         bool                  `json:"judging"`
-	Judge           fleet.Ref             `json:"judge"`
-	FloorSlots      int                   `json:"floor_slots"`
-	ReadySlots      int                   `json:"ready_slots"`
-	BudgetSlots     int                   `json:"budget_slots"`   // That the judge may hold in ejections; of a judge only.
-	HeardCarriers   int                   `json:"heard_carriers"` // Of a judge only.
-	Carriers        int                   `json:"carriers"`
-	Endpoints       []EndpointStatus      `json:"endpoints"`
-	Judged          []health.EndpointView `json:"judged,omitempty"` // Of a judge only.
-	DroppedEvidence uint64                `json:"dropped_evidence"`
-	DroppedVerdicts uint64                `json:"dropped_verdicts"`
+	Service          fleet.Service         `json:"service"`
+	Carrying         bool                  `json:"carrying"`
+	Evaluating       bool                  `json:"judging"`
+	Evaluator        fleet.Ref             `json:"judge"`
+	FloorSlots       int                   `json:"floor_slots"`
+	ReadySlots       int                   `json:"ready_slots"`
+	BudgetSlots      int                   `json:"budget_slots"`   // That the judge may hold in ejections; of a judge only.
+	CarrierVotes     int                   `json:"heard_carriers"` // Of a judge only.
+	Carriers         int                   `json:"carriers"`
+	Endpoints        []EndpointStatus      `json:"endpoints"`
+	Evaluated        []health.EndpointView `json:"judged,omitempty"` // Of a judge only.
+	DroppedEvidence  uint64                `json:"dropped_evidence"`
+	DroppedDecisions uint64                `json:"dropped_verdicts"`
 }
 
 // EndpointStatus is one endpoint in a carrier's view, with what the platform lists.
@@ -50,11 +50,11 @@
 }
 
 // Status returns the latest snapshot. It is immutable; any goroutine may call it.
-func (d *Duty) Status() *Status {
+func (d *Manager) Status() *Status {
 	return d.status.Load()
 }
 
-func (d *Duty) refreshStatus(now time.Time) {
+func (d *Manager) refreshStatus(now time.Time) {
 	if now.Sub(d.statusAt) < statusInterval {
 		return
 	}
@@ -73,8 +73,8 @@
 	status := ServiceStatus{
 		Service:    s.name,
 		Carrying:   s.carrying,
-		Judging:    s.judging,
-		Judge:      s.assigned.Ref,
+		Evaluating: s.judging,
+		Evaluator:  s.assigned.Ref,
 		FloorSlots: s.template.FloorSlots,
 		Carriers:   len(s.carriers),
 	}
@@ -84,12 +84,12 @@
 		}
 	}
 	if s.judging {
-		status.BudgetSlots, status.HeardCarriers = s.judge.Budget(now)
-		status.Judged = s.judge.Explain(now)
+		status.BudgetSlots, status.CarrierVotes = s.judge.Budget(now)
+		status.Evaluated = s.judge.Explain(now)
 		status.DroppedEvidence = s.judge.Dropped
 	}
 	if s.carrying {
-		status.DroppedVerdicts = s.carrier.Dropped
+		status.DroppedDecisions = s.carrier.Dropped
 		for i, v := range s.carrier.View(now) {
 			u := s.upstreams[i]
 			status.Endpoints = append(status.Endpoints, EndpointStatus{EndpointView: v, Zone: u.Zone, Slots: u.Slots, Listed: u.State})
@@ -99,7 +99,7 @@
 }
 
 // report logs and traces the decisions that a service's judge has made.
-func (d *Duty) report(s *service) {
+func (d *Manager) report(s *service) {
 	if s.judge == nil {
 		return
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-func (d *Duty) logDecision(x health.Transition) {
+func (d *Manager) logDecision(x health.Transition) {
 	d.options.Log.Info("endpoint "+string(x.Action),
 		"service", x.Service,
 		"endpoint", x.Endpoint,
@@ -125,7 +125,7 @@
 	)
 }
 
-func (d *Duty) traceDecision(x health.Transition) {
+func (d *Manager) traceDecision(x health.Transition) {
 	_, span := d.options.Tracer.Start(context.Background(), "health decision", trace.WithTimestamp(x.At))
 	span.AddEvent(string(x.Action), trace.WithTimestamp(x.At), trace.WithAttributes(
 		attribute.String("service", string(x.Service)),
--- a/internal/endpoints/targets.go
+++ b/internal/endpoints/targets.go
@@ -16,7 +16,7 @@
 const overshoot = 1.25
 
 // publish passes a service's targets on if they have changed.
-func (d *Duty) publish(now time.Time, s *service) {
+func (d *Manager) publish(now time.Time, s *service) {
 	targets := d.targets(now, s)
 	if s.announced && slices.Equal(targets, s.published) {
 		return
@@ -27,7 +27,7 @@
 }
 
 // targets returns the endpoints that this instance may use, or nil when it does not carry the service.
-func (d *Duty) targets(now time.Time, s *service) []routing.Target {
+func (d *Manager) targets(now time.Time, s *service) []routing.Target {
 	if !s.carrying {
 		return nil
 	}
--- a/internal/listing/duty.go
+++ b/internal/listing/duty.go
@@ -59,7 +59,7 @@
 	watching    bool
 }
 
-var _ control.Duty = (*Duty)(nil)
+var _ control.Component = (*Duty)(nil)
 
 // New returns a duty that holds no list yet.
 func New(o Options) *Duty {
@@ -84,12 +84,12 @@
 	return *d.stats.Load()
 }
 
-// Kinds implements control.Duty.
+// Kinds implements control.Component.
 func (d *Duty) Kinds() []wire.Kind {
 	return []wire.Kind{wire.KindListing}
 }
 
-// Tick implements control.Duty. Before the first list every instance reads it.
+// Tick implements control.Component. Before the first list every instance reads it.
 func (d *Duty) Tick(now time.Time) {
 	defer d.publishStats()
 	d.switchPart(now)
@@ -212,7 +212,7 @@
 	d.o.Sender.Send(to, wire.KindListing, m)
 }
 
-// Deliver implements control.Duty.
+// Deliver implements control.Component.
 func (d *Duty) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	defer d.publishStats()
 	var m Message
--- a/internal/measure/health/cost.go
+++ b/internal/measure/health/cost.go
@@ -73,7 +73,7 @@
 				spent = append(spent, float64(time.Since(start).Nanoseconds()))
 			}
 			for _, m := range j.outbox() {
-				n, err := size(wire.KindVerdict, endpoints.ServiceVerdict{Entries: []endpoints.VerdictEntry{{Service: w.service, Verdict: *m.send.Decision}}})
+				n, err := size(wire.KindDecision, endpoints.ServiceDecision{Entries: []endpoints.DecisionEntry{{Service: w.service, Decision: *m.send.Decision}}})
 				if err != nil {
 					return cost{}, err
 				}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -57,8 +57,8 @@
 	OnSuperseded func(by fleet.Instance)
 }
 
-// Duty is the membership of one instance.
-type Duty struct {
+// Manager is the membership of one instance.
+type Manager struct {
 	o        Options
 	ctx      context.Context
 	machine  *membership.Machine
@@ -70,11 +70,11 @@
 }
 
 // New returns the duty of an instance that has not begun to join. ctx bounds its calls of the store.
-func New(ctx context.Context, o Options) *Duty {
+func New(ctx context.Context, o Options) *Manager {
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	d := &Duty{
+	d := &Manager{
 		o:       o,
 		ctx:     ctx,
 		machine: membership.NewMachine(o.Config, o.Self, o.Random),
@@ -86,13 +86,13 @@
 }
 
 // Snapshot returns the latest snapshot, never nil. Any goroutine may call it.
-func (d *Duty) Snapshot() *Snapshot {
+func (d *Manager) Snapshot() *Snapshot {
 	return d.snapshot.Load()
 }
 
 // Resolve returns the instance of a reference from the snapshot, the platform's list and
 // the instances that asked to join. Any goroutine may call it.
-func (d *Duty) Resolve(ref fleet.Ref) (fleet.Instance, bool) {
+func (d *Manager) Resolve(ref fleet.Ref) (fleet.Instance, bool) {
 	if i, ok := d.Snapshot().Instance(ref); ok {
 		return i, true
 	}
@@ -101,56 +101,56 @@
 }
 
 // Start begins to join. hints is the platform's list. It must run on the control goroutine.
-func (d *Duty) Start(now time.Time, hints []fleet.Instance) {
+func (d *Manager) Start(now time.Time, hints []fleet.Instance) {
 	d.noteHints(hints)
 	d.run(now, d.machine.Start(now, hints))
 }
 
-// Listed takes the platform's list whenever it was read. It must run on the control goroutine.
-func (d *Duty) Listed(now time.Time, instances []fleet.Instance) {
+// InstancesListed takes the platform's list whenever it was read. It must run on the control goroutine.
+func (d *Manager) InstancesListed(now time.Time, instances []fleet.Instance) {
 	d.noteHints(instances)
 	d.run(now, d.machine.InstancesListed(now, instances))
 }
 
 // SetRevision sets the configuration revision in force here. It must run on the control goroutine.
-func (d *Duty) SetRevision(r fleet.Revision) {
+func (d *Manager) SetRevision(r fleet.Revision) {
 	d.machine.SetRevision(r)
 }
 
-// Ahead returns the neighbour with the highest configuration above this instance's.
+// NeighbourAhead returns the neighbour with the highest configuration above this instance's.
 // It must run on the control goroutine.
-func (d *Duty) Ahead() (fleet.Instance, fleet.Revision, bool) {
+func (d *Manager) NeighbourAhead() (fleet.Instance, fleet.Revision, bool) {
 	return d.machine.NeighbourAhead()
 }
 
 // Neighbours returns the instances that this one exchanges heartbeats with. It must run on
 // the control goroutine.
-func (d *Duty) Neighbours() []fleet.Instance {
+func (d *Manager) Neighbours() []fleet.Instance {
 	return d.machine.Neighbours()
 }
 
 // Counters returns the machine's counts. It must run on the control goroutine.
-func (d *Duty) Counters() membership.Counters {
+func (d *Manager) Counters() membership.Counters {
 	return d.machine.Counters()
 }
 
 // Leave announces a planned stop. It must run on the control goroutine.
-func (d *Duty) Leave(now time.Time) {
+func (d *Manager) Leave(now time.Time) {
 	d.run(now, d.machine.Leave(now))
 }
 
-// Gone announces that this instance exits now. It must run on the control goroutine.
-func (d *Duty) Gone(now time.Time) {
+// Stop announces that this instance exits now. It must run on the control goroutine.
+func (d *Manager) Stop(now time.Time) {
 	d.run(now, d.machine.Stop(now))
 }
 
-// Kinds implements control.Duty.
-func (d *Duty) Kinds() []wire.Kind {
+// Kinds implements control.Component.
+func (d *Manager) Kinds() []wire.Kind {
 	return []wire.Kind{wire.KindMembership}
 }
 
-// Deliver implements control.Duty. It returns wire.ErrMalformed.
-func (d *Duty) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
+// Deliver implements control.Component. It returns wire.ErrMalformed.
+func (d *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	var msg membership.Message
 	if err := wire.DecodeBody(e, &msg); err != nil {
 		return err
@@ -162,14 +162,14 @@
 	return nil
 }
 
-// Tick implements control.Duty.
-func (d *Duty) Tick(now time.Time) {
+// Tick implements control.Component.
+func (d *Manager) Tick(now time.Time) {
 	d.run(now, d.machine.Tick(now))
 	d.report()
 }
 
 // report counts what the machine has refused since the last call.
-func (d *Duty) report() {
+func (d *Manager) report() {
 	c := d.machine.Counters()
 	if c == d.last {
 		return
@@ -184,7 +184,7 @@
 }
 
 // run carries out the machine's effects.
-func (d *Duty) run(now time.Time, effects []membership.Effect) {
+func (d *Manager) run(now time.Time, effects []membership.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case membership.Send:
@@ -203,7 +203,7 @@
 	}
 }
 
-func (d *Duty) publish(now time.Time) {
+func (d *Manager) publish(now time.Time) {
 	s := d.take()
 	d.snapshot.Store(s)
 	if d.o.Budget != nil {
@@ -214,7 +214,7 @@
 	}
 }
 
-func (d *Duty) rejoined(now time.Time, self fleet.Instance) {
+func (d *Manager) rejoined(now time.Time, self fleet.Instance) {
 	d.o.Log.Warn("taken off the roster; joining as the next incarnation", "incarnation", self.Ref.Incarnation)
 	if d.o.OnRejoined != nil {
 		d.o.OnRejoined(self)
@@ -222,7 +222,7 @@
 	d.publish(now)
 }
 
-func (d *Duty) superseded(by fleet.Instance) {
+func (d *Manager) superseded(by fleet.Instance) {
 	d.o.Log.Error("another process has this instance's ID", "incarnation", d.o.Self.Ref.Incarnation, "by", by.Ref.String())
 	if d.o.OnSuperseded != nil {
 		d.o.OnSuperseded(by)
@@ -230,7 +230,7 @@
 }
 
 // take returns a snapshot of the machine.
-func (d *Duty) take() *Snapshot {
+func (d *Manager) take() *Snapshot {
 	s := &Snapshot{
 		Self:    d.machine.Self(),
 		Joined:  d.machine.Joined(),
@@ -246,7 +246,7 @@
 }
 
 // mapOf returns the map of some instances: the last one, with its caches, when they are the same.
-func (d *Duty) mapOf(instances []fleet.Instance) *placement.Map {
+func (d *Manager) mapOf(instances []fleet.Instance) *placement.Map {
 	if last := d.snapshot.Load(); last != nil && slices.Equal(last.Map.Instances(), instances) {
 		return last.Map
 	}
@@ -264,7 +264,7 @@
 	return instances
 }
 
-func (d *Duty) noteHints(instances []fleet.Instance) {
+func (d *Manager) noteHints(instances []fleet.Instance) {
 	hints := make(map[fleet.Ref]fleet.Instance, len(instances))
 	for _, i := range instances {
 		hints[i.Ref] = i
@@ -275,7 +275,7 @@
 // maxHints bounds the instances that are remembered as joining.
 const maxHints = 4096
 
-func (d *Duty) noteHint(i fleet.Instance) {
+func (d *Manager) noteHint(i fleet.Instance) {
 	former := *d.hints.Load()
 	if former[i.Ref] == i || len(former) >= maxHints {
 		return
--- a/internal/members/store.go
+++ b/internal/members/store.go
@@ -14,7 +14,7 @@
 const callTimeout = 10 * time.Second
 
 // read reads the roster record and hands it to the machine.
-func (d *Duty) read() {
+func (d *Manager) read() {
 	ctx, cancel := context.WithTimeout(d.ctx, callTimeout)
 	defer cancel()
 	roster, _, err := d.load(ctx)
@@ -22,7 +22,7 @@
 }
 
 // write swaps the roster record for the next generation and hands the outcome to the machine.
-func (d *Duty) write(next membership.Roster) {
+func (d *Manager) write(next membership.Roster) {
 	ctx, cancel := context.WithTimeout(d.ctx, callTimeout)
 	defer cancel()
 	err := d.swap(ctx, next)
@@ -32,7 +32,7 @@
 	d.o.Loop.Post(func(now time.Time) { d.run(now, d.machine.RosterWritten(now, next, err)) })
 }
 
-func (d *Duty) load(ctx context.Context) (membership.Roster, metastore.Version, error) {
+func (d *Manager) load(ctx context.Context) (membership.Roster, metastore.Version, error) {
 	value, err := d.store.Get(ctx, d.o.RosterKey)
 	if errors.Is(err, metastore.ErrNotFound) {
 		return membership.Roster{}, 0, nil
@@ -46,7 +46,7 @@
 
 // swap writes the record if it holds the generation before next, or a lower one that the
 // store has lost writes after. It returns membership.ErrConflict or membership.ErrUnknownResult.
-func (d *Duty) swap(ctx context.Context, next membership.Roster) error {
+func (d *Manager) swap(ctx context.Context, next membership.Roster) error {
 	held, version, err := d.load(ctx)
 	if err != nil {
 		return err
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -105,8 +105,8 @@
 	return append(near, far...)
 }
 
-// Relayed runs a request that another instance passed on.
-func (n *Node) Relayed(ctx context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer {
+// HandleRelayed runs a request that another instance passed on.
+func (n *Node) HandleRelayed(ctx context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer {
 	ctx = tracing.Extract(ctx, r.TraceParent)
 	ctx, span := n.opts.Tracer.Start(ctx, "relayed", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
@@ -114,7 +114,7 @@
 	if role == claim.RoleNone {
 		return n.dispatcher.Execute(ctx, r)
 	}
-	return n.claims.Relayed(ctx, from, role, r)
+	return n.claims.HandleRelayed(ctx, from, role, r)
 }
 
 // Outcome tells what came of an idempotency key.
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -17,7 +17,7 @@
 
 // deliver hands a peer's message to the relays or to the control goroutine.
 func (n *Node) deliver(from fleet.Ref, e wire.Envelope) {
-	if !relay.Takes(e.Kind) {
+	if !relay.Handles(e.Kind) {
 		n.loop.Deliver(from, e)
 		return
 	}
@@ -38,11 +38,11 @@
 	return c.roster.Carriers(s, count)
 }
 
-func (c carriersOf) Judge(s fleet.Service) (fleet.Instance, bool) {
+func (c carriersOf) Evaluator(s fleet.Service) (fleet.Instance, bool) {
 	return c.alive.Evaluator(s)
 }
 
-func (c carriersOf) Life(id fleet.InstanceID) (fleet.Incarnation, bool) {
+func (c carriersOf) Incarnation(id fleet.InstanceID) (fleet.Incarnation, bool) {
 	life, ok := c.lives[id]
 	return life, ok
 }
@@ -156,5 +156,5 @@
 
 // upstreamLeaving takes an upstream's own word that it leaves.
 func (n *Node) upstreamLeaving(service fleet.Service, endpoint fleet.Endpoint) {
-	n.loop.Post(func(now time.Time) { n.endpoints.Leaving(now, service, endpoint) })
+	n.loop.Post(func(now time.Time) { n.endpoints.MarkLeaving(now, service, endpoint) })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,10 +65,10 @@
 	calls    *relay.Calls
 	loop     *control.Loop
 
-	members    *members.Duty
+	members    *members.Manager
 	config     *config.Duty
 	listing    *listing.Duty
-	endpoints  *endpoints.Duty
+	endpoints  *endpoints.Manager
 	claims     *claims.Claims
 	dispatcher *dispatch.Dispatcher
 	budget     *storecall.Budget
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -73,7 +73,7 @@
 		OnChange: n.takeListing,
 		Random:   n.random(3),
 	})
-	n.endpoints = endpoints.NewDuty(endpoints.Options{
+	n.endpoints = endpoints.NewManager(endpoints.Options{
 		Health:   health.DefaultConfig(),
 		Carriers: s.Fleet.CarriersPerService,
 		Sender:   n.links,
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -91,7 +91,7 @@
 
 // takeListing runs on the control goroutine.
 func (n *Node) takeListing(now time.Time, l *metastore.Listing) {
-	n.members.Listed(now, l.Instances)
+	n.members.InstancesListed(now, l.Instances)
 	n.endpoints.SetListing(now, *l)
 }
 
@@ -116,7 +116,7 @@
 	n.logStop("callers answered", n.entry.Shutdown(ctx))
 	n.logStop("upstream work ended", n.dispatcher.Drain(ctx))
 	if cause == nil {
-		n.onLoop(ctx, n.members.Gone)
+		n.onLoop(ctx, n.members.Stop)
 	}
 	n.links.Flush(ctx)
 	time.Sleep(goneGrace)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -100,10 +100,10 @@
 	out := api.Service{
 		Name:       s.Service,
 		Carried:    s.Carrying,
-		Judge:      s.Judge,
+		Judge:      s.Evaluator,
 		FloorSlots: s.FloorSlots,
 		ReadySlots: s.ReadySlots,
-		Budget:     api.Budget{Total: max(0, s.ReadySlots-s.FloorSlots), Held: s.BudgetSlots, Heard: s.HeardCarriers, Carriers: s.Carriers},
+		Budget:     api.Budget{Total: max(0, s.ReadySlots-s.FloorSlots), Held: s.BudgetSlots, Heard: s.CarrierVotes, Carriers: s.Carriers},
 	}
 	for _, in := range n.carriers(s.Service) {
 		out.Carriers = append(out.Carriers, in.Ref)
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -18,7 +18,7 @@
 func forwards(kind wire.Kind) bool {
 	switch kind {
 	case wire.KindClaim, wire.KindRelayRequest, wire.KindRelayAnswer, wire.KindOutcomeLookup,
-		wire.KindOutcomeReply, wire.KindEvidence, wire.KindVerdict:
+		wire.KindOutcomeReply, wire.KindEvidence, wire.KindDecision:
 		return true
 	default:
 		return false
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -34,7 +34,7 @@
 // supersedes reports whether only the newest messages of the kind matter.
 func supersedes(kind wire.Kind) bool {
 	switch kind {
-	case wire.KindMembership, wire.KindListing, wire.KindEvidence, wire.KindVerdict:
+	case wire.KindMembership, wire.KindListing, wire.KindEvidence, wire.KindDecision:
 		return true
 	default:
 		return false
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -87,8 +87,8 @@
 	delete(c.pending, id)
 }
 
-// Takes reports whether a kind of message is for Deliver.
-func Takes(kind wire.Kind) bool {
+// Handles reports whether a kind of message is for Deliver.
+func Handles(kind wire.Kind) bool {
 	return kind == wire.KindRelayRequest || kind == wire.KindRelayAnswer
 }
 
@@ -138,7 +138,7 @@
 	call.Request.Deadline = time.Now().Add(call.Request.Remaining)
 	ctx, cancel := context.WithDeadline(ctx, call.Request.Deadline)
 	defer cancel()
-	answer := c.handler.Relayed(ctx, from, call.Role, call.Request)
+	answer := c.handler.HandleRelayed(ctx, from, call.Role, call.Request)
 	c.links.Offer(from, wire.KindRelayAnswer, Reply{ID: call.ID, Answer: answer})
 }
 
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -49,7 +49,7 @@
 // echoHandler answers with the role and the body that it was asked with.
 type echoHandler struct{}
 
-func (echoHandler) Relayed(_ context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer {
+func (echoHandler) HandleRelayed(_ context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer {
 	return exchange.Answer{Status: int(role), Body: append([]byte(from.ID+":"), r.Body...)}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -41,5 +41,5 @@
 
 // Handler runs a request that another instance passed on. It must return an answer before ctx ends.
 type Handler interface {
-	Relayed(ctx context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer
+	HandleRelayed(ctx context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -32,7 +32,7 @@
 	KindRollout       Kind = 20 // rollout.Message
 	KindListing       Kind = 21 // The platform's list, passed on by the instances that read it.
 	KindEvidence      Kind = 30 // ServiceEvidence of the health duty.
-	KindVerdict       Kind = 31 // ServiceVerdict of the health duty.
+	KindDecision      Kind = 31 // ServiceVerdict of the health duty.
 	KindClaim         Kind = 40 // claim.Message
 	KindRelayRequest  Kind = 50 // A caller's request, passed on to another instance.
 	KindRelayAnswer   Kind = 51 // Its answer.
