--- a/internal/endpoints/attempts.go
+++ b/internal/endpoints/attempts.go
@@ -9,10 +9,10 @@
 	"github.com/damaskcove/damaskcove/coord/health"
 )
 
-// Bounds of the attempts that wait for the control goroutine.
+// Bounds of the buffered attempts.
 const (
-	attemptShards   = 16
-	attemptsInShard = 4096
+	attemptShards       = 16
+	maxAttemptsPerShard = 4096
 )
 
 // attempt is one attempt on an endpoint of a service.
@@ -21,43 +21,44 @@
 	health.Attempt
 }
 
-// attemptShard is one part of the waiting attempts.
+// attemptShard is one independently locked part of the buffer.
 type attemptShard struct {
 	mu       sync.Mutex
 	attempts []attempt
 	_        [64]byte // Keeps shards on cache lines of their own.
 }
 
-// attempts gathers what traffic goroutines saw. A full shard drops and counts.
-type attempts struct {
+// attemptBuffer holds the attempts reported by traffic goroutines until the control goroutine
+// drains them. An attempt for a full shard is dropped and counted.
+type attemptBuffer struct {
 	shards  [attemptShards]attemptShard
 	dropped atomic.Uint64
 }
 
-func (a *attempts) add(service fleet.Service, seen health.Attempt) {
-	shard := &a.shards[rand.Uint32()%attemptShards]
+func (b *attemptBuffer) add(service fleet.Service, observed health.Attempt) {
+	shard := &b.shards[rand.Uint32()%attemptShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	if len(shard.attempts) >= attemptsInShard {
-		a.dropped.Add(1)
+	if len(shard.attempts) >= maxAttemptsPerShard {
+		b.dropped.Add(1)
 		return
 	}
-	shard.attempts = append(shard.attempts, attempt{service: service, Attempt: seen})
+	shard.attempts = append(shard.attempts, attempt{service: service, Attempt: observed})
 }
 
-// take hands every waiting attempt to f.
-func (a *attempts) take(f func(attempt)) {
-	for i := range a.shards {
-		for _, seen := range a.shards[i].take() {
-			f(seen)
+// drain removes every buffered attempt and calls f with it.
+func (b *attemptBuffer) drain(f func(attempt)) {
+	for i := range b.shards {
+		for _, observed := range b.shards[i].drain() {
+			f(observed)
 		}
 	}
 }
 
-func (s *attemptShard) take() []attempt {
+func (s *attemptShard) drain() []attempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	taken := s.attempts
+	drained := s.attempts
 	s.attempts = nil
-	return taken
+	return drained
 }
--- a/internal/endpoints/doc.go
+++ b/internal/endpoints/doc.go
@@ -1,9 +1,10 @@
-// Package endpoints wires the health of upstream endpoints into an instance.
+// Package endpoints connects the health evaluation of package health to an instance.
 //
-// Duty holds a carrier for each service that the instance routes to and a judge for
-// each service that it judges, exchanges evidence and verdicts with the other
-// instances, and tells the traffic side which endpoints it may use and how far.
+// A Manager holds a health.Carrier for each service that the instance routes to and a
+// health.Evaluator for each service that it evaluates. It exchanges evidence and decisions
+// with the other instances and publishes the endpoints that this instance may use, each
+// with a limit of concurrent requests.
 //
-// All methods run on the control goroutine, but for Observe and Status, which any
-// goroutine may call.
+// All methods of Manager run on the control goroutine, except Observe, Dropped and Status,
+// which any goroutine may call.
 package endpoints
--- a/internal/endpoints/former.go
+++ b/internal/endpoints/former.go
@@ -7,31 +7,31 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// formerFor is the time for which an instance may still act on a set of carriers that is not the newest.
-const formerFor = 15 * time.Minute
+// formerSetTTL is how long an instance may still act on a set of carriers after a newer one has replaced it.
+const formerSetTTL = 15 * time.Minute
 
-// maxFormer bounds the sets of carriers that are kept.
-const maxFormer = 16
+// maxFormerSets bounds the former sets of carriers of one service.
+const maxFormerSets = 16
 
-// formerSet is a set of carriers on which an instance may still act.
+// formerSet is a replaced set of carriers that some instances may still act on.
 type formerSet struct {
 	carriers []fleet.Instance
 	until    time.Time
 }
 
-// setCarriers takes the newest set of carriers and keeps the one before for a while.
+// setCarriers replaces the set of carriers and keeps the previous one for formerSetTTL.
 func (s *service) setCarriers(now time.Time, carriers []fleet.Instance) {
 	if sameRefs(s.carriers, carriers) {
 		s.carriers = carriers
 		return
 	}
 	if s.carriers != nil {
-		s.former = append(s.former, formerSet{carriers: s.carriers, until: now.Add(formerFor)})
+		s.former = append(s.former, formerSet{carriers: s.carriers, until: now.Add(formerSetTTL)})
 	}
 	s.carriers = carriers
 	s.former = slices.DeleteFunc(s.former, func(f formerSet) bool { return sameRefs(f.carriers, carriers) })
-	if len(s.former) > maxFormer {
-		s.former = s.former[len(s.former)-maxFormer:]
+	if len(s.former) > maxFormerSets {
+		s.former = s.former[len(s.former)-maxFormerSets:]
 	}
 }
 
@@ -43,15 +43,15 @@
 	return sets
 }
 
-// expireFormer drops the sets of carriers on which no instance acts any more, and from
-// the others the lives that have ended. It reports whether there was one.
-func (s *service) expireFormer(now time.Time, ended *endedLives) bool {
+// expireFormer drops the former sets that no instance acts on any more, and from the other
+// sets the incarnations whose votes have expired. It reports whether anything was dropped.
+func (s *service) expireFormer(now time.Time, ended *endedIncarnations) bool {
 	changed := false
 	for i := range s.former {
 		f := &s.former[i]
-		left := ended.without(now, f.carriers)
-		changed = changed || len(left) < len(f.carriers)
-		f.carriers = left
+		remaining := ended.withoutExpired(now, f.carriers)
+		changed = changed || len(remaining) < len(f.carriers)
+		f.carriers = remaining
 	}
 	before := len(s.former)
 	s.former = slices.DeleteFunc(s.former, func(f formerSet) bool {
@@ -60,47 +60,47 @@
 	return changed || len(s.former) < before
 }
 
-// endedLives knows the carriers' lives that have certainly ended: those of instances
-// that are on the roster as a later life.
+// endedIncarnations records the carriers' incarnations that have certainly ended: the roster
+// lists a later incarnation of the same instance.
 //
-// An ended life lends itself to no judge. A judge may have heard it just before, so it
-// counts as a possible carrier until its last loan has run out.
-type endedLives struct {
-	loan  time.Duration // With the margin for drift.
-	since map[fleet.Ref]time.Time
+// An ended incarnation votes for no evaluator. An evaluator may have received its evidence
+// just before, so it counts as a possible carrier until the lease of its last vote has expired.
+type endedIncarnations struct {
+	voteLease time.Duration           // Includes the margin for clock drift.
+	endedAt   map[fleet.Ref]time.Time // When a later incarnation was first found on the roster.
 }
 
-func newEndedLives(loan time.Duration) *endedLives {
-	return &endedLives{loan: loan, since: make(map[fleet.Ref]time.Time)}
+func newEndedIncarnations(voteLease time.Duration) *endedIncarnations {
+	return &endedIncarnations{voteLease: voteLease, endedAt: make(map[fleet.Ref]time.Time)}
 }
 
-// note records the lives among the carriers that a later life has followed.
-func (e *endedLives) note(now time.Time, p Placement, carriers []fleet.Instance) {
+// record adds the carriers that the roster lists with a later incarnation.
+func (e *endedIncarnations) record(now time.Time, p Placement, carriers []fleet.Instance) {
 	for _, c := range carriers {
-		life, ok := p.Incarnation(c.Ref.ID)
-		if _, known := e.since[c.Ref]; !known && ok && life > c.Ref.Incarnation {
-			e.since[c.Ref] = now
+		current, ok := p.Incarnation(c.Ref.ID)
+		if _, recorded := e.endedAt[c.Ref]; !recorded && ok && current > c.Ref.Incarnation {
+			e.endedAt[c.Ref] = now
 		}
 	}
 }
 
-// without returns the carriers whose last loan may still run.
-func (e *endedLives) without(now time.Time, carriers []fleet.Instance) []fleet.Instance {
-	over := func(c fleet.Instance) bool {
-		at, ended := e.since[c.Ref]
-		return ended && now.Sub(at) >= e.loan
+// withoutExpired returns the carriers whose last vote may still be valid.
+func (e *endedIncarnations) withoutExpired(now time.Time, carriers []fleet.Instance) []fleet.Instance {
+	expired := func(c fleet.Instance) bool {
+		at, ended := e.endedAt[c.Ref]
+		return ended && now.Sub(at) >= e.voteLease
 	}
-	if !slices.ContainsFunc(carriers, over) {
+	if !slices.ContainsFunc(carriers, expired) {
 		return carriers
 	}
-	return slices.DeleteFunc(slices.Clone(carriers), over)
+	return slices.DeleteFunc(slices.Clone(carriers), expired)
 }
 
-// forget drops what is older than any former set.
-func (e *endedLives) forget(now time.Time) {
-	for ref, at := range e.since {
-		if now.Sub(at) > formerFor+e.loan {
-			delete(e.since, ref)
+// prune drops the incarnations that no former set can contain any more.
+func (e *endedIncarnations) prune(now time.Time) {
+	for ref, at := range e.endedAt {
+		if now.Sub(at) > formerSetTTL+e.voteLease {
+			delete(e.endedAt, ref)
 		}
 	}
 }
--- a/internal/endpoints/manager.go
+++ b/internal/endpoints/manager.go
@@ -18,9 +18,9 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// Placement says which instances carry and judge a service. Carriers must follow from
-// the roster's generation alone, the same at every instance; Judge may also follow from
-// what this instance takes to be alive.
+// Placement assigns services to instances. Carriers must depend on the roster's generation
+// alone, so that every instance computes the same set. Evaluator may also depend on which
+// instances this one considers alive.
 type Placement interface {
 	Carriers(s fleet.Service, count int) []fleet.Instance
 	Evaluator(s fleet.Service) (fleet.Instance, bool)
@@ -28,37 +28,37 @@
 	Incarnation(id fleet.InstanceID) (fleet.Incarnation, bool)
 }
 
-// Publish is told the targets of a service whenever they change; nil when the service is not carried.
-// It runs on the control goroutine.
+// Publish is called on the control goroutine whenever the targets of a service change.
+// targets is nil when this instance does not carry the service.
 type Publish func(service fleet.Service, targets []routing.Target, template rollout.ServiceTemplate)
 
-// DefaultCarriers is the number of instances that carry a service.
+// DefaultCarriers is the default number of instances that carry a service.
 const DefaultCarriers = 12
 
-// Options are what a Duty is built from.
+// Options configure a Manager.
 type Options struct {
-	Health   health.Config // DefaultConfig when zero.
-	Carriers int           // Instances that carry a service; DefaultCarriers when 0.
+	Health   health.Config // health.DefaultConfig when zero.
+	Carriers int           // Instances that carry a service; DefaultCarriers when zero.
 	Sender   control.Sender
 	Publish  Publish
-	Log      *slog.Logger // The default logger when nil.
-	Tracer   trace.Tracer // None when nil.
+	Log      *slog.Logger // slog.Default when nil.
+	Tracer   trace.Tracer // No tracing when nil.
 }
 
-// Manager is the health of all services at one instance.
+// Manager runs the carriers and evaluators of all services at one instance.
 type Manager struct {
-	options    Options
-	self       fleet.Instance
-	generation uint64
-	placement  Placement
-	placed     uint64 // Counts the calls of SetFleet.
-	ended      *endedLives
-	config     *rollout.Config
-	listing    metastore.Listing
-	services   map[fleet.Service]*service
-	attempts   attempts
-	status     atomic.Pointer[Status]
-	statusAt   time.Time
+	options      Options
+	self         fleet.Instance
+	generation   uint64
+	placement    Placement
+	fleetVersion uint64 // Counts the calls of SetFleet.
+	ended        *endedIncarnations
+	config       *rollout.Config
+	listing      metastore.Listing
+	services     map[fleet.Service]*service
+	attempts     attemptBuffer
+	status       atomic.Pointer[Status]
+	statusAt     time.Time
 }
 
 func (o *Options) setDefaults() {
@@ -76,127 +76,127 @@
 	}
 }
 
-// NewManager returns a duty that holds nothing until it has a configuration, a fleet and a listing.
+// NewManager returns a Manager that has no endpoints until the configuration, the fleet and the listing are set.
 func NewManager(o Options) *Manager {
 	o.setDefaults()
-	d := &Manager{options: o, services: make(map[fleet.Service]*service)}
-	d.ended = newEndedLives(o.Health.VoteLease + o.Health.DriftMargin)
-	d.status.Store(&Status{})
-	return d
+	m := &Manager{options: o, services: make(map[fleet.Service]*service)}
+	m.ended = newEndedIncarnations(o.Health.VoteLease + o.Health.DriftMargin)
+	m.status.Store(&Status{})
+	return m
 }
 
-// SetConfig takes a newer configuration.
-func (d *Manager) SetConfig(now time.Time, c *rollout.Config) {
-	d.config = c
-	d.configure(now)
+// SetConfig replaces the configuration.
+func (m *Manager) SetConfig(now time.Time, c *rollout.Config) {
+	m.config = c
+	m.configure(now)
 }
 
-// SetFleet takes the roster's generation, who carries and judges what, and this instance.
-func (d *Manager) SetFleet(now time.Time, generation uint64, p Placement, self fleet.Instance) {
-	d.generation = generation
-	d.placement = p
-	d.self = self
-	d.placed++
-	d.ended.forget(now)
-	d.configure(now)
+// SetFleet replaces the roster's generation, the placement of services, and this instance.
+func (m *Manager) SetFleet(now time.Time, generation uint64, p Placement, self fleet.Instance) {
+	m.generation = generation
+	m.placement = p
+	m.self = self
+	m.fleetVersion++
+	m.ended.prune(now)
+	m.configure(now)
 }
 
-// SetListing takes a newer list of the platform.
-func (d *Manager) SetListing(now time.Time, l metastore.Listing) {
-	d.listing = l
-	d.configure(now)
+// SetListing replaces the platform's list of upstreams.
+func (m *Manager) SetListing(now time.Time, l metastore.Listing) {
+	m.listing = l
+	m.configure(now)
 }
 
-// MarkLeaving notes that an upstream endpoint itself said that it is leaving. It gets no new work at once.
-func (d *Manager) MarkLeaving(now time.Time, s fleet.Service, e fleet.Endpoint) {
-	if state := d.services[s]; state != nil {
+// MarkLeaving records that an endpoint announced in a response that it is leaving. It gets no new requests from now on.
+func (m *Manager) MarkLeaving(now time.Time, s fleet.Service, e fleet.Endpoint) {
+	if state := m.services[s]; state != nil {
 		state.leaving[e] = now
-		d.configure(now)
-		d.publish(now, state)
+		m.configure(now)
+		m.publish(now, state)
 	}
 }
 
-// Observe takes one attempt. Any goroutine may call it; it never waits for control.
-func (d *Manager) Observe(s fleet.Service, a health.Attempt) {
-	d.attempts.add(s, a)
+// Observe buffers the result of one attempt. Any goroutine may call it; it never waits for the control goroutine.
+func (m *Manager) Observe(s fleet.Service, a health.Attempt) {
+	m.attempts.add(s, a)
 }
 
-// Dropped returns the number of attempts that Observe dropped because too many waited.
-func (d *Manager) Dropped() uint64 {
-	return d.attempts.dropped.Load()
+// Dropped returns the number of attempts that Observe dropped because the buffer was full.
+func (m *Manager) Dropped() uint64 {
+	return m.attempts.dropped.Load()
 }
 
-// configure brings every service in line with the configuration, the fleet and the listing.
-func (d *Manager) configure(now time.Time) {
-	if d.config == nil || d.placement == nil {
+// configure updates every service after a change of the configuration, the fleet or the listing.
+func (m *Manager) configure(now time.Time) {
+	if m.config == nil || m.placement == nil {
 		return
 	}
-	for name := range d.services {
-		if _, ok := d.config.Services[name]; !ok {
-			d.options.Publish(name, nil, rollout.ServiceTemplate{Name: name})
-			delete(d.services, name)
+	for name := range m.services {
+		if _, ok := m.config.Services[name]; !ok {
+			m.options.Publish(name, nil, rollout.ServiceTemplate{Name: name})
+			delete(m.services, name)
 		}
 	}
-	for name, template := range d.config.Services {
-		state := d.services[name]
+	for name, template := range m.config.Services {
+		state := m.services[name]
 		if state == nil {
 			state = newService(name)
-			d.services[name] = state
+			m.services[name] = state
 		}
 		state.template = template
-		state.upstreams = d.upstreams(now, state)
-		d.assign(now, state)
+		state.upstreams = m.upstreams(now, state)
+		m.assign(now, state)
 	}
 }
 
-// Kinds lists the messages that the duty takes.
-func (d *Manager) Kinds() []wire.Kind {
+// Kinds implements control.Component.
+func (m *Manager) Kinds() []wire.Kind {
 	return []wire.Kind{wire.KindEvidence, wire.KindDecision}
 }
 
-// Deliver takes evidence for the judges or verdicts for the carriers of this instance.
-func (d *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
+// Deliver implements control.Component. It handles evidence for this instance's evaluators and decisions for its carriers.
+func (m *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	switch e.Kind {
 	case wire.KindEvidence:
 		var body ServiceEvidence
 		if err := wire.DecodeBody(e, &body); err != nil {
 			return err
 		}
-		return d.deliverEvidence(now, from, body)
+		return m.deliverEvidence(now, from, body)
 	case wire.KindDecision:
 		var body ServiceDecision
 		if err := wire.DecodeBody(e, &body); err != nil {
 			return err
 		}
-		return d.deliverVerdicts(now, from, body)
+		return m.deliverDecisions(now, from, body)
 	default:
-		return fmt.Errorf("%w: kind %d is not of the health duty", wire.ErrMalformed, e.Kind)
+		return fmt.Errorf("%w: kind %d is not handled by endpoint health", wire.ErrMalformed, e.Kind)
 	}
 }
 
-// Tick sends what is due, moves probation on and publishes changed targets.
-func (d *Manager) Tick(now time.Time) {
-	d.attempts.take(func(a attempt) {
-		if state := d.services[a.service]; state != nil && state.carrying {
+// Tick implements control.Component. It sends due messages, advances trials and publishes changed targets.
+func (m *Manager) Tick(now time.Time) {
+	m.attempts.drain(func(a attempt) {
+		if state := m.services[a.service]; state != nil && state.carrying {
 			state.carrier.Observe(now, a.Attempt)
 		}
 	})
 	var due outbox
-	for _, state := range d.services {
-		if state.expireFormer(now, d.ended) {
-			d.assign(now, state)
+	for _, state := range m.services {
+		if state.expireFormer(now, m.ended) {
+			m.assign(now, state)
 		}
-		if state.judge != nil {
-			due.add(state.name, state.judge.Tick(now))
+		if state.evaluator != nil {
+			due.add(state.name, state.evaluator.Tick(now))
 		}
 		if state.carrier != nil {
 			due.add(state.name, state.carrier.Tick(now))
 		}
 	}
-	d.flush(now, due)
-	for _, state := range d.services {
-		d.report(state)
-		d.publish(now, state)
+	m.flush(now, due)
+	for _, state := range m.services {
+		m.reportTransitions(state)
+		m.publish(now, state)
 	}
-	d.refreshStatus(now)
+	m.refreshStatus(now)
 }
--- a/internal/endpoints/manager_test.go
+++ b/internal/endpoints/manager_test.go
@@ -18,7 +18,7 @@
 
 const catalogue fleet.Service = "catalogue"
 
-// fixedPlacement gives every service all instances as carriers and the first as judge.
+// fixedPlacement gives every service all instances as carriers and the first as evaluator.
 type fixedPlacement []fleet.Instance
 
 func (p fixedPlacement) Carriers(fleet.Service, int) []fleet.Instance { return p }
@@ -34,7 +34,7 @@
 	return 0, false
 }
 
-// network delivers messages between duties at once, through their encoding.
+// network encodes, decodes and delivers messages between managers without delay.
 type network struct {
 	t     *testing.T
 	now   time.Time
@@ -95,7 +95,7 @@
 	return n
 }
 
-// add starts one life of an instance, which knows the list and the configuration.
+// add starts one incarnation of an instance, with the listing and the configuration set.
 func (n *network) add(self fleet.Instance) *testNode {
 	node := &testNode{network: n, self: self}
 	node.duty = NewManager(Options{
@@ -111,8 +111,8 @@
 	return node
 }
 
-// restart ends every life and starts the next ones, which first see the roster of the
-// former lives and then each other take its places, one after another.
+// restart replaces every instance by its next incarnation. The new ones first get the roster
+// of the previous incarnations, then one roster for each instance that has rejoined.
 func (n *network) restart() {
 	clear(n.nodes)
 	var next []*testNode
@@ -159,8 +159,8 @@
 	}
 }
 
-// standings returns how many nodes have an endpoint in a standing, out of those that may use it.
-func (n *network) standings(e fleet.Endpoint, want routing.EndpointState) (count, of int) {
+// countInState returns how many of the nodes that may use an endpoint have it in a state.
+func (n *network) countInState(e fleet.Endpoint, want routing.EndpointState) (count, of int) {
 	for _, node := range n.nodes {
 		for _, target := range node.targets {
 			if target.Upstream.Endpoint != e {
@@ -175,76 +175,76 @@
 	return count, of
 }
 
-func TestDutyTakesAFailingEndpointOutEverywhere(t *testing.T) {
+func TestFailingEndpointIsExcludedAtAllInstances(t *testing.T) {
 	n := newNetwork(t, 6, 7)
 	n.run(10*time.Second, "")
 	n.run(5*time.Second, "10.0.0.3:80")
-	if out, of := n.standings("10.0.0.3:80", routing.StateExcluded); out != of || of == 0 {
-		t.Fatalf("failing endpoint is out at %d of %d instances", out, of)
+	if excluded, of := n.countInState("10.0.0.3:80", routing.StateExcluded); excluded != of || of == 0 {
+		t.Fatalf("failing endpoint is excluded at %d of %d instances", excluded, of)
 	}
-	if open, of := n.standings("10.0.0.2:80", routing.StateAvailable); open != of || of == 0 {
-		t.Fatalf("healthy endpoint is in service at %d of %d instances", open, of)
+	if available, of := n.countInState("10.0.0.2:80", routing.StateAvailable); available != of || of == 0 {
+		t.Fatalf("healthy endpoint is available at %d of %d instances", available, of)
 	}
 	status := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}].duty.Status()
 	if len(status.Services) != 1 || !status.Services[0].Evaluating || status.Services[0].BudgetSlots != 12 {
-		t.Fatalf("status %+v, want the judge of one service with a budget of 12 slots", status.Services)
+		t.Fatalf("status %+v, want the evaluator of one service with a budget of 12 slots", status.Services)
 	}
 }
 
-func TestDutyRestoresWithoutContact(t *testing.T) {
+func TestIsolatedInstanceRestoresAllEndpoints(t *testing.T) {
 	n := newNetwork(t, 6, 7)
 	n.run(10*time.Second, "")
 	n.run(5*time.Second, "10.0.0.3:80")
-	far := n.nodes[fleet.Ref{ID: "i5", Incarnation: 1}]
-	far.cut = true
+	isolated := n.nodes[fleet.Ref{ID: "i5", Incarnation: 1}]
+	isolated.cut = true
 	n.run(health.DefaultConfig().Lease, "10.0.0.3:80")
-	for _, target := range far.targets {
+	for _, target := range isolated.targets {
 		if target.State != routing.StateAvailable {
-			t.Errorf("instance without contact has %s in standing %d, want open", target.Upstream.Endpoint, target.State)
+			t.Errorf("isolated instance has %s in state %d, want available", target.Upstream.Endpoint, target.State)
 		}
 	}
 }
 
-func TestDutyStopsWorkToALeavingUpstreamAtOnce(t *testing.T) {
+func TestLeavingEndpointIsMarkedAtOnce(t *testing.T) {
 	n := newNetwork(t, 1, 3)
 	n.run(time.Second, "")
 	node := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}]
 	node.duty.MarkLeaving(n.now, catalogue, "10.0.0.1:80")
-	if count, of := n.standings("10.0.0.1:80", routing.StateLeaving); count != 1 || of != 1 {
-		t.Fatalf("leaving upstream has that standing at %d of %d instances", count, of)
+	if count, of := n.countInState("10.0.0.1:80", routing.StateLeaving); count != 1 || of != 1 {
+		t.Fatalf("endpoint is marked leaving at %d of %d instances", count, of)
 	}
 }
 
-func TestLimitsAddUpToAboutTheSlots(t *testing.T) {
+func TestLimitsSumToSlotsWithOvercommit(t *testing.T) {
 	n := newNetwork(t, 12, 9)
 	n.run(time.Second, "")
 	perEndpoint := map[fleet.Endpoint]int{}
-	least, most := 1<<30, 0
+	lowest, highest := 1<<30, 0
 	for _, node := range n.nodes {
 		total := 0
 		for _, target := range node.targets {
 			perEndpoint[target.Upstream.Endpoint] += target.Limit
 			total += target.Limit
 		}
-		least, most = min(least, total), max(most, total)
+		lowest, highest = min(lowest, total), max(highest, total)
 	}
 	for e, total := range perEndpoint {
 		if total < 3 || total > 4 {
-			t.Errorf("limits on %s add up to %d, want 3 or 4 for 3 slots", e, total)
+			t.Errorf("limits on %s sum to %d, want 3 or 4 for 3 slots", e, total)
 		}
 	}
-	if len(perEndpoint) != 9 || most-least > 1 {
-		t.Errorf("%d endpoints are used; instances have %d to %d shares", len(perEndpoint), least, most)
+	if len(perEndpoint) != 9 || highest-lowest > 1 {
+		t.Errorf("%d endpoints are used, want 9; instances have %d to %d shares, want a difference of at most 1", len(perEndpoint), lowest, highest)
 	}
 }
 
-func TestDutyEjectsSoonAfterEveryInstanceRestarted(t *testing.T) {
+func TestEjectionSoonAfterAllInstancesRestart(t *testing.T) {
 	n := newNetwork(t, 6, 7)
 	n.run(10*time.Second, "")
 	n.restart()
 	const failing = fleet.Endpoint("10.0.0.3:80")
 	n.run(20*time.Second, failing)
-	if out, of := n.standings(failing, routing.StateExcluded); out != of || of == 0 {
-		t.Errorf("%d of %d instances avoid a failing endpoint 20 s after all restarted, want all", out, of)
+	if excluded, of := n.countInState(failing, routing.StateExcluded); excluded != of || of == 0 {
+		t.Errorf("failing endpoint is excluded at %d of %d instances 20 s after all restarted, want all", excluded, of)
 	}
 }
--- a/internal/endpoints/message.go
+++ b/internal/endpoints/message.go
@@ -5,7 +5,7 @@
 	"github.com/damaskcove/damaskcove/coord/health"
 )
 
-// ServiceEvidence carries the evidence of one carrier instance on several services to one judge instance.
+// ServiceEvidence is sent from a carrier to an evaluator. It holds evidence on several services.
 type ServiceEvidence struct {
 	Entries []EvidenceEntry `cbor:"1,keyasint"`
 }
@@ -16,12 +16,12 @@
 	Evidence health.Evidence `cbor:"2,keyasint"`
 }
 
-// ServiceDecision carries the verdicts of one judge instance on several services to one carrier instance.
+// ServiceDecision is sent from an evaluator to a carrier. It holds decisions on several services.
 type ServiceDecision struct {
 	Entries []DecisionEntry `cbor:"1,keyasint"`
 }
 
-// DecisionEntry is the verdict on one service.
+// DecisionEntry is the decision on one service.
 type DecisionEntry struct {
 	Service  fleet.Service   `cbor:"1,keyasint"`
 	Decision health.Decision `cbor:"2,keyasint"`
--- a/internal/endpoints/outbox.go
+++ b/internal/endpoints/outbox.go
@@ -10,10 +10,10 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// outbox gathers messages by destination, so that one envelope carries those of several services.
+// outbox groups messages by destination, so that one envelope carries those of several services.
 type outbox struct {
-	evidence map[fleet.Ref]*ServiceEvidence
-	verdicts map[fleet.Ref]*ServiceDecision
+	evidence  map[fleet.Ref]*ServiceEvidence
+	decisions map[fleet.Ref]*ServiceDecision
 }
 
 func (o *outbox) add(service fleet.Service, sends []health.Send) {
@@ -22,7 +22,7 @@
 			o.addEvidence(s.To, EvidenceEntry{Service: service, Evidence: *s.Evidence})
 		}
 		if s.Decision != nil {
-			o.addVerdict(s.To, DecisionEntry{Service: service, Decision: *s.Decision})
+			o.addDecision(s.To, DecisionEntry{Service: service, Decision: *s.Decision})
 		}
 	}
 }
@@ -37,77 +37,77 @@
 	o.evidence[to].Entries = append(o.evidence[to].Entries, e)
 }
 
-func (o *outbox) addVerdict(to fleet.Ref, v DecisionEntry) {
-	if o.verdicts == nil {
-		o.verdicts = make(map[fleet.Ref]*ServiceDecision)
+func (o *outbox) addDecision(to fleet.Ref, e DecisionEntry) {
+	if o.decisions == nil {
+		o.decisions = make(map[fleet.Ref]*ServiceDecision)
 	}
-	if o.verdicts[to] == nil {
-		o.verdicts[to] = &ServiceDecision{}
+	if o.decisions[to] == nil {
+		o.decisions[to] = &ServiceDecision{}
 	}
-	o.verdicts[to].Entries = append(o.verdicts[to].Entries, v)
+	o.decisions[to].Entries = append(o.decisions[to].Entries, e)
 }
 
-// flush sends an outbox. What goes to this instance itself is delivered at once.
-func (d *Manager) flush(now time.Time, o outbox) {
+// flush sends the messages of an outbox. Those for this instance itself are delivered directly.
+func (m *Manager) flush(now time.Time, o outbox) {
 	for to, body := range o.evidence {
-		if to == d.self.Ref {
-			d.warn("evidence of this instance dropped", d.deliverEvidence(now, to, *body))
+		if to == m.self.Ref {
+			m.warn("evidence from this instance's own carrier dropped", m.deliverEvidence(now, to, *body))
 			continue
 		}
-		d.options.Sender.Send(to, wire.KindEvidence, *body)
+		m.options.Sender.Send(to, wire.KindEvidence, *body)
 	}
-	for to, body := range o.verdicts {
-		if to == d.self.Ref {
-			d.warn("verdict of this instance dropped", d.deliverVerdicts(now, to, *body))
+	for to, body := range o.decisions {
+		if to == m.self.Ref {
+			m.warn("decision of this instance's own evaluator dropped", m.deliverDecisions(now, to, *body))
 			continue
 		}
-		d.options.Sender.Send(to, wire.KindDecision, *body)
+		m.options.Sender.Send(to, wire.KindDecision, *body)
 	}
 }
 
-func (d *Manager) warn(message string, err error) {
+func (m *Manager) warn(message string, err error) {
 	if err != nil {
-		d.options.Log.Warn(message, "error", err.Error())
+		m.options.Log.Warn(message, "error", err.Error())
 	}
 }
 
-// deliverEvidence hands evidence to the judges. Faults are joined; the other services' evidence still counts.
-func (d *Manager) deliverEvidence(now time.Time, from fleet.Ref, body ServiceEvidence) error {
-	var answers outbox
-	var faults []error
+// deliverEvidence passes evidence to the evaluators. An error on one service does not stop the others; all are joined.
+func (m *Manager) deliverEvidence(now time.Time, from fleet.Ref, body ServiceEvidence) error {
+	var replies outbox
+	var errs []error
 	for i := range body.Entries {
 		entry := &body.Entries[i]
-		state := d.services[entry.Service]
-		if state == nil || state.judge == nil {
-			faults = append(faults, fmt.Errorf("%w: service %q is not judged here", health.ErrEvidenceDropped, entry.Service))
+		state := m.services[entry.Service]
+		if state == nil || state.evaluator == nil {
+			errs = append(errs, fmt.Errorf("%w: service %q is not evaluated by this instance", health.ErrEvidenceDropped, entry.Service))
 			continue
 		}
-		sends, err := state.judge.Deliver(now, from, &entry.Evidence)
+		sends, err := state.evaluator.Deliver(now, from, &entry.Evidence)
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
-		answers.add(entry.Service, sends)
-		d.report(state)
+		replies.add(entry.Service, sends)
+		m.reportTransitions(state)
 	}
-	d.flush(now, answers)
-	return errors.Join(faults...)
+	m.flush(now, replies)
+	return errors.Join(errs...)
 }
 
-// deliverVerdicts hands verdicts to the carriers and publishes what they change.
-func (d *Manager) deliverVerdicts(now time.Time, from fleet.Ref, body ServiceDecision) error {
-	var faults []error
+// deliverDecisions passes decisions to the carriers and publishes the changed targets.
+func (m *Manager) deliverDecisions(now time.Time, from fleet.Ref, body ServiceDecision) error {
+	var errs []error
 	for i := range body.Entries {
 		entry := &body.Entries[i]
-		state := d.services[entry.Service]
+		state := m.services[entry.Service]
 		if state == nil || state.carrier == nil {
-			faults = append(faults, fmt.Errorf("%w: service %q is not carried here", health.ErrDecisionDropped, entry.Service))
+			errs = append(errs, fmt.Errorf("%w: service %q is not carried by this instance", health.ErrDecisionDropped, entry.Service))
 			continue
 		}
 		if err := state.carrier.Deliver(now, from, &entry.Decision); err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			continue
 		}
-		d.publish(now, state)
+		m.publish(now, state)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/internal/endpoints/service.go
+++ b/internal/endpoints/service.go
@@ -15,108 +15,108 @@
 	"github.com/damaskcove/damaskcove/coord/routing"
 )
 
-// service is what a duty holds of one service.
+// service is the Manager's state of one service.
 type service struct {
 	name      fleet.Service
 	template  rollout.ServiceTemplate
 	upstreams []fleet.Upstream
-	leaving   map[fleet.Endpoint]time.Time // Said to be leaving by the upstream itself.
-
-	carriers []fleet.Instance
-	former   []formerSet
-	carrying bool
-	carrier  *health.Carrier
-	judge    *health.Evaluator
-	judging  bool
-	assigned fleet.Instance // The service's judge.
-	placed   uint64         // Counts the fleets; which one carriers and assigned follow from.
-
-	published []routing.Target
-	announced bool // published has been passed on.
+	leaving   map[fleet.Endpoint]time.Time // When the endpoint itself announced that it is leaving.
+
+	carriers          []fleet.Instance
+	former            []formerSet
+	carrying          bool
+	carrier           *health.Carrier
+	evaluator         *health.Evaluator // Nil unless evaluating.
+	evaluating        bool
+	evaluatorInstance fleet.Instance
+	fleetVersion      uint64 // Manager.fleetVersion that carriers and evaluatorInstance were computed for.
+
+	published    []routing.Target
+	hasPublished bool // False until the first call of Publish; published may be nil after it.
 }
 
 func newService(name fleet.Service) *service {
 	return &service{name: name, leaving: make(map[fleet.Endpoint]time.Time)}
 }
 
-// leavingFor is the time for which an upstream's own word that it is leaving holds against a list that lags.
-const leavingFor = time.Minute
+// leavingTTL is how long an endpoint's own announcement that it is leaving overrides the platform's list, which lags.
+const leavingTTL = time.Minute
 
-// upstreams returns the listed endpoints of a service, without doubles and those without slots.
-func (d *Manager) upstreams(now time.Time, s *service) []fleet.Upstream {
-	listed := d.listing.Upstreams[s.name]
-	kept := make([]fleet.Upstream, 0, len(listed))
+// upstreams returns the listed endpoints of a service, without duplicates and endpoints that have no slots.
+func (m *Manager) upstreams(now time.Time, s *service) []fleet.Upstream {
+	listed := m.listing.Upstreams[s.name]
+	upstreams := make([]fleet.Upstream, 0, len(listed))
 	seen := make(map[fleet.Endpoint]struct{}, len(listed))
 	for _, u := range listed {
-		if _, twice := seen[u.Endpoint]; twice || u.Slots <= 0 {
+		if _, duplicate := seen[u.Endpoint]; duplicate || u.Slots <= 0 {
 			continue
 		}
 		seen[u.Endpoint] = struct{}{}
-		if at, ok := s.leaving[u.Endpoint]; ok && now.Sub(at) < leavingFor {
+		if at, ok := s.leaving[u.Endpoint]; ok && now.Sub(at) < leavingTTL {
 			u.State = fleet.UpstreamLeaving
 		}
-		kept = append(kept, u)
+		upstreams = append(upstreams, u)
 	}
-	slices.SortFunc(kept, func(a, b fleet.Upstream) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
-	return kept
+	slices.SortFunc(upstreams, func(a, b fleet.Upstream) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	return upstreams
 }
 
-// assign brings a service's carrier and judge in line with the fleet.
-func (d *Manager) assign(now time.Time, s *service) {
-	judge := d.place(now, s)
-	a := health.Assignment{Generation: d.generation, Evaluator: judge.Ref, Carriers: s.carriers, Former: s.formerCarriers()}
+// assign creates, configures or drops a service's carrier and evaluator according to the placement.
+func (m *Manager) assign(now time.Time, s *service) {
+	evaluator := m.updatePlacement(now, s)
+	a := health.Assignment{Generation: m.generation, Evaluator: evaluator.Ref, Carriers: s.carriers, Former: s.formerCarriers()}
 	p := parametersOf(s.template)
-	s.carrying = slices.ContainsFunc(s.carriers, d.isSelf)
+	s.carrying = slices.ContainsFunc(s.carriers, m.isSelf)
 	if s.carrying && s.carrier == nil {
-		s.carrier = health.NewCarrier(d.self, d.options.Health)
+		s.carrier = health.NewCarrier(m.self, m.options.Health)
 	}
-	if s.carrier != nil && !s.carrying && !d.wasCarrier(s) {
+	if s.carrier != nil && !s.carrying && !m.isFormerCarrier(s) {
 		s.carrier = nil
 	}
-	d.assignJudge(s, judge.Ref)
+	m.updateEvaluator(s, evaluator.Ref)
 	if s.carrier != nil {
 		s.carrier.Configure(now, p, a, s.upstreams)
 	}
-	if s.judge != nil {
-		s.judge.Configure(now, p, a, s.upstreams)
+	if s.evaluator != nil {
+		s.evaluator.Configure(now, p, a, s.upstreams)
 	}
 }
 
-// place looks up a service's carriers and judge when the fleet has changed.
-func (d *Manager) place(now time.Time, s *service) fleet.Instance {
-	if s.placed != d.placed {
-		s.placed = d.placed
-		s.setCarriers(now, sorted(d.placement.Carriers(s.name, d.options.Carriers)))
+// updatePlacement looks up a service's carriers and evaluator if the fleet has changed. It returns the evaluator.
+func (m *Manager) updatePlacement(now time.Time, s *service) fleet.Instance {
+	if s.fleetVersion != m.fleetVersion {
+		s.fleetVersion = m.fleetVersion
+		s.setCarriers(now, sortedByID(m.placement.Carriers(s.name, m.options.Carriers)))
 		for _, f := range s.former {
-			d.ended.note(now, d.placement, f.carriers)
+			m.ended.record(now, m.placement, f.carriers)
 		}
-		s.assigned, _ = d.placement.Evaluator(s.name)
+		s.evaluatorInstance, _ = m.placement.Evaluator(s.name)
 	}
-	return s.assigned
+	return s.evaluatorInstance
 }
 
-// assignJudge makes or drops the judge of a service. A dropped judge's verdicts lapse by themselves.
-func (d *Manager) assignJudge(s *service, judge fleet.Ref) {
-	s.judging = judge == d.self.Ref
+// updateEvaluator creates or drops this instance's evaluator of a service. The decisions of a dropped evaluator expire on their own.
+func (m *Manager) updateEvaluator(s *service, evaluator fleet.Ref) {
+	s.evaluating = evaluator == m.self.Ref
 	switch {
-	case !s.judging:
-		s.judge = nil
-	case s.judge == nil:
-		s.judge = health.NewEvaluator(d.self, d.options.Health)
+	case !s.evaluating:
+		s.evaluator = nil
+	case s.evaluator == nil:
+		s.evaluator = health.NewEvaluator(m.self, m.options.Health)
 	}
 }
 
-func (d *Manager) isSelf(i fleet.Instance) bool {
-	return i.Ref == d.self.Ref
+func (m *Manager) isSelf(i fleet.Instance) bool {
+	return i.Ref == m.self.Ref
 }
 
-// wasCarrier reports whether this instance is in a former set, and so still lends itself.
-func (d *Manager) wasCarrier(s *service) bool {
-	return slices.ContainsFunc(s.former, func(f formerSet) bool { return slices.ContainsFunc(f.carriers, d.isSelf) })
+// isFormerCarrier reports whether this instance is in a former set, and so may still vote.
+func (m *Manager) isFormerCarrier(s *service) bool {
+	return slices.ContainsFunc(s.former, func(f formerSet) bool { return slices.ContainsFunc(f.carriers, m.isSelf) })
 }
 
-// sorted returns the instances by ID, so that the same set is the same list everywhere.
-func sorted(instances []fleet.Instance) []fleet.Instance {
+// sortedByID returns the instances sorted by ID, so that every instance has the same list of a set.
+func sortedByID(instances []fleet.Instance) []fleet.Instance {
 	return slices.SortedFunc(slices.Values(instances), func(a, b fleet.Instance) int { return cmp.Compare(a.Ref.ID, b.Ref.ID) })
 }
 
@@ -125,7 +125,7 @@
 }
 
 // parametersOf returns the health parameters of a template. Their revision is a digest of
-// them, so that it stays the same while other parts of the configuration change.
+// their values, so that a change of other parts of the configuration does not change it.
 func parametersOf(t rollout.ServiceTemplate) health.Parameters {
 	p := health.Parameters{
 		Service:                        t.Name,
--- a/internal/endpoints/status.go
+++ b/internal/endpoints/status.go
@@ -16,15 +16,15 @@
 // statusInterval is the time between two snapshots for Status.
 const statusInterval = 250 * time.Millisecond
 
-// Status is the health of all services as one instance sees it.
+// Status is this instance's view of the health of all services that it carries or evaluates.
 type Status struct {
 	At       time.Time       `json:"at"`
 	Services []ServiceStatus `json:"services"`
-	// DroppedAttempts counts the attempts that came faster than control took them.
+	// DroppedAttempts counts the attempts dropped because the control goroutine did not drain them in time.
 	DroppedAttempts uint64 `json:"dropped_attempts"`
 }
 
-// ServiceStatus is the health of one service as one instance sees it.
+// ServiceStatus is this instance's view of the health of one service.
 type ServiceStatus struct {
 	Service          fleet.Service         `json:"service"`
 	Carrying         bool                  `json:"carrying"`
@@ -32,16 +32,16 @@
 	Evaluator        fleet.Ref             `json:"judge"`
 	FloorSlots       int                   `json:"floor_slots"`
 	ReadySlots       int                   `json:"ready_slots"`
-	BudgetSlots      int                   `json:"budget_slots"`   // That the judge may hold in ejections; of a judge only.
-	CarrierVotes     int                   `json:"heard_carriers"` // Of a judge only.
+	BudgetSlots      int                   `json:"budget_slots"`   // Slots that the evaluator may keep ejected; set at the evaluator only.
+	CarrierVotes     int                   `json:"heard_carriers"` // Carriers with a valid vote; set at the evaluator only.
 	Carriers         int                   `json:"carriers"`
 	Endpoints        []EndpointStatus      `json:"endpoints"`
-	Evaluated        []health.EndpointView `json:"judged,omitempty"` // Of a judge only.
+	Evaluated        []health.EndpointView `json:"judged,omitempty"` // The evaluator's own view; set at the evaluator only.
 	DroppedEvidence  uint64                `json:"dropped_evidence"`
 	DroppedDecisions uint64                `json:"dropped_verdicts"`
 }
 
-// EndpointStatus is one endpoint in a carrier's view, with what the platform lists.
+// EndpointStatus is a carrier's view of one endpoint, with the zone, slots and state that the platform lists.
 type EndpointStatus struct {
 	health.EndpointView
 	Zone   fleet.Zone          `json:"zone"`
@@ -49,32 +49,32 @@
 	Listed fleet.UpstreamState `json:"listed"`
 }
 
-// Status returns the latest snapshot. It is immutable; any goroutine may call it.
-func (d *Manager) Status() *Status {
-	return d.status.Load()
+// Status returns the latest snapshot, which is immutable. Any goroutine may call it.
+func (m *Manager) Status() *Status {
+	return m.status.Load()
 }
 
-func (d *Manager) refreshStatus(now time.Time) {
-	if now.Sub(d.statusAt) < statusInterval {
+func (m *Manager) refreshStatus(now time.Time) {
+	if now.Sub(m.statusAt) < statusInterval {
 		return
 	}
-	d.statusAt = now
-	status := &Status{At: now, DroppedAttempts: d.Dropped()}
-	for _, s := range d.services {
-		if s.carrying || s.judging {
+	m.statusAt = now
+	status := &Status{At: now, DroppedAttempts: m.Dropped()}
+	for _, s := range m.services {
+		if s.carrying || s.evaluating {
 			status.Services = append(status.Services, s.status(now))
 		}
 	}
 	slices.SortFunc(status.Services, func(a, b ServiceStatus) int { return cmp.Compare(a.Service, b.Service) })
-	d.status.Store(status)
+	m.status.Store(status)
 }
 
 func (s *service) status(now time.Time) ServiceStatus {
 	status := ServiceStatus{
 		Service:    s.name,
 		Carrying:   s.carrying,
-		Evaluating: s.judging,
-		Evaluator:  s.assigned.Ref,
+		Evaluating: s.evaluating,
+		Evaluator:  s.evaluatorInstance.Ref,
 		FloorSlots: s.template.FloorSlots,
 		Carriers:   len(s.carriers),
 	}
@@ -83,10 +83,10 @@
 			status.ReadySlots += u.Slots
 		}
 	}
-	if s.judging {
-		status.BudgetSlots, status.CarrierVotes = s.judge.Budget(now)
-		status.Evaluated = s.judge.Explain(now)
-		status.DroppedEvidence = s.judge.Dropped
+	if s.evaluating {
+		status.BudgetSlots, status.CarrierVotes = s.evaluator.Budget(now)
+		status.Evaluated = s.evaluator.Explain(now)
+		status.DroppedEvidence = s.evaluator.Dropped
 	}
 	if s.carrying {
 		status.DroppedDecisions = s.carrier.Dropped
@@ -98,45 +98,45 @@
 	return status
 }
 
-// report logs and traces the decisions that a service's judge has made.
-func (d *Manager) report(s *service) {
-	if s.judge == nil {
+// reportTransitions logs and traces the transitions that this instance's evaluator of a service has made.
+func (m *Manager) reportTransitions(s *service) {
+	if s.evaluator == nil {
 		return
 	}
-	for _, decision := range s.judge.Transitions() {
-		d.logDecision(decision)
-		d.traceDecision(decision)
+	for _, transition := range s.evaluator.Transitions() {
+		m.logTransition(transition)
+		m.traceTransition(transition)
 	}
 }
 
-func (d *Manager) logDecision(x health.Transition) {
-	d.options.Log.Info("endpoint "+string(x.Action),
-		"service", x.Service,
-		"endpoint", x.Endpoint,
-		"cause", x.Cause,
-		"zones", x.Zones,
-		"score", x.Score,
-		"limit", x.Limit,
-		"budget_slots", x.Budget,
-		"heard", x.Votes,
-		"carriers", x.Carriers,
-		"hold_ms", x.Hold.Milliseconds(),
-		"may_return", x.MayReturn,
+func (m *Manager) logTransition(t health.Transition) {
+	m.options.Log.Info("endpoint "+string(t.Action),
+		"service", t.Service,
+		"endpoint", t.Endpoint,
+		"cause", t.Cause,
+		"zones", t.Zones,
+		"score", t.Score,
+		"limit", t.Limit,
+		"budget_slots", t.Budget,
+		"heard", t.Votes,
+		"carriers", t.Carriers,
+		"hold_ms", t.Hold.Milliseconds(),
+		"may_return", t.MayReturn,
 	)
 }
 
-func (d *Manager) traceDecision(x health.Transition) {
-	_, span := d.options.Tracer.Start(context.Background(), "health decision", trace.WithTimestamp(x.At))
-	span.AddEvent(string(x.Action), trace.WithTimestamp(x.At), trace.WithAttributes(
-		attribute.String("service", string(x.Service)),
-		attribute.String("endpoint", string(x.Endpoint)),
-		attribute.String("cause", x.Cause),
-		attribute.Float64("score", x.Score),
-		attribute.Float64("limit", x.Limit),
-		attribute.Int("budget_slots", x.Budget),
-		attribute.Int("heard", x.Votes),
-		attribute.Int("carriers", x.Carriers),
-		attribute.Int64("hold_ms", x.Hold.Milliseconds()),
+func (m *Manager) traceTransition(t health.Transition) {
+	_, span := m.options.Tracer.Start(context.Background(), "health decision", trace.WithTimestamp(t.At))
+	span.AddEvent(string(t.Action), trace.WithTimestamp(t.At), trace.WithAttributes(
+		attribute.String("service", string(t.Service)),
+		attribute.String("endpoint", string(t.Endpoint)),
+		attribute.String("cause", t.Cause),
+		attribute.Float64("score", t.Score),
+		attribute.Float64("limit", t.Limit),
+		attribute.Int("budget_slots", t.Budget),
+		attribute.Int("heard", t.Votes),
+		attribute.Int("carriers", t.Carriers),
+		attribute.Int64("hold_ms", t.Hold.Milliseconds()),
 	))
-	span.End(trace.WithTimestamp(x.At))
+	span.End(trace.WithTimestamp(t.At))
 }
--- a/internal/endpoints/targets.go
+++ b/internal/endpoints/targets.go
@@ -11,63 +11,63 @@
 	"github.com/damaskcove/damaskcove/coord/routing"
 )
 
-// overshoot is the sum of the carriers' limits on an endpoint over its slots. What is over
-// the slots is refused by the upstream before it starts.
-const overshoot = 1.25
+// slotOvercommit is the ratio of the carriers' summed limits on an endpoint to its slots. The
+// upstream rejects a request beyond its slots before it starts to run.
+const slotOvercommit = 1.25
 
-// publish passes a service's targets on if they have changed.
-func (d *Manager) publish(now time.Time, s *service) {
-	targets := d.targets(now, s)
-	if s.announced && slices.Equal(targets, s.published) {
+// publish calls Options.Publish if a service's targets have changed.
+func (m *Manager) publish(now time.Time, s *service) {
+	targets := m.targets(now, s)
+	if s.hasPublished && slices.Equal(targets, s.published) {
 		return
 	}
 	s.published = targets
-	s.announced = true
-	d.options.Publish(s.name, targets, s.template)
+	s.hasPublished = true
+	m.options.Publish(s.name, targets, s.template)
 }
 
 // targets returns the endpoints that this instance may use, or nil when it does not carry the service.
-func (d *Manager) targets(now time.Time, s *service) []routing.Target {
+func (m *Manager) targets(now time.Time, s *service) []routing.Target {
 	if !s.carrying {
 		return nil
 	}
 	views := s.carrier.View(now)
-	limits := Limits(s.upstreams, s.carriers, d.self.Ref)
+	limits := Limits(s.upstreams, s.carriers, m.self.Ref)
 	targets := make([]routing.Target, 0, len(views))
 	usable := false
 	for i, v := range views {
-		standing := standingOf(s.upstreams[i].State, v.State)
+		state := endpointState(s.upstreams[i].State, v.State)
 		limit := limits[i]
-		if standing == routing.StateTrial {
+		if state == routing.StateTrial {
 			limit = max(limit, 1)
 		}
 		if limit == 0 {
 			continue
 		}
-		usable = usable || standing == routing.StateAvailable
-		targets = append(targets, routing.Target{Upstream: s.upstreams[i], State: standing, Limit: limit})
+		usable = usable || state == routing.StateAvailable
+		targets = append(targets, routing.Target{Upstream: s.upstreams[i], State: state, Limit: limit})
 	}
 	if !usable {
-		return everyTarget(s.upstreams, views)
+		return allTargets(s.upstreams, views)
 	}
 	return targets
 }
 
-// everyTarget returns all endpoints with a limit of at least one: the ones that this
-// instance has a share of are all out of service.
-func everyTarget(upstreams []fleet.Upstream, views []health.EndpointView) []routing.Target {
+// allTargets returns all endpoints with a limit of one. It is used when no endpoint that this
+// instance has a share of is available.
+func allTargets(upstreams []fleet.Upstream, views []health.EndpointView) []routing.Target {
 	targets := make([]routing.Target, 0, len(views))
 	for i, v := range views {
 		targets = append(targets, routing.Target{
 			Upstream: upstreams[i],
-			State:    standingOf(upstreams[i].State, v.State),
+			State:    endpointState(upstreams[i].State, v.State),
 			Limit:    1,
 		})
 	}
 	return targets
 }
 
-func standingOf(listed fleet.UpstreamState, view health.State) routing.EndpointState {
+func endpointState(listed fleet.UpstreamState, view health.State) routing.EndpointState {
 	switch {
 	case listed == fleet.UpstreamLeaving:
 		return routing.StateLeaving
@@ -84,16 +84,16 @@
 
 // Limits returns an instance's share of each endpoint's slots.
 //
-// The shares of all endpoints are laid out in a row and dealt to the carriers in turn,
-// carriers of different zones next to each other, so that no carrier has more than one
-// share above another and an endpoint is used from several zones. After each round the
-// deal moves on by one, so that carriers share different endpoints with different carriers.
+// The shares of all endpoints are assigned round-robin to the carriers, which are ordered so
+// that neighbours are in different zones. So the carriers' totals differ by at most one share,
+// and an endpoint is used from several zones. After each round the starting carrier moves on
+// by one, so that a carrier shares its endpoints with different other carriers.
 func Limits(upstreams []fleet.Upstream, carriers []fleet.Instance, self fleet.Ref) []int {
-	order := interleaved(carriers)
+	order := interleaveZones(carriers)
 	limits := make([]int, len(upstreams))
 	next := 0
 	for i, u := range upstreams {
-		for range sharesOf(u.Slots, len(order)) {
+		for range shareCount(u.Slots, len(order)) {
 			if order[(next+next/len(order))%len(order)] == self {
 				limits[i]++
 			}
@@ -103,16 +103,16 @@
 	return limits
 }
 
-// sharesOf returns the number of shares that an endpoint's slots make.
-func sharesOf(slots, carriers int) int {
+// shareCount returns the number of shares that an endpoint's slots are divided into.
+func shareCount(slots, carriers int) int {
 	if carriers <= 1 {
 		return slots
 	}
-	return int(math.Ceil(overshoot * float64(slots)))
+	return int(math.Ceil(slotOvercommit * float64(slots)))
 }
 
-// interleaved returns the carriers with those of one zone as far apart as possible.
-func interleaved(carriers []fleet.Instance) []fleet.Ref {
+// interleaveZones returns the carriers with those of one zone as far apart as possible.
+func interleaveZones(carriers []fleet.Instance) []fleet.Ref {
 	type ranked struct {
 		ref  fleet.Ref
 		zone fleet.Zone
