--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,6 +1,6 @@
-// Package members runs the membership of one instance: it drives coord/membership on the
-// control goroutine, reads and writes the roster record in the platform's store on
-// goroutines of its own, and publishes what traffic goroutines need as one snapshot.
+// Package members runs the membership of one instance. It drives coord/membership on the
+// control goroutine, reads and writes the roster record in the platform's store on separate
+// goroutines, and publishes an immutable snapshot of the fleet for traffic goroutines.
 package members
 
 import (
@@ -22,160 +22,160 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// Snapshot is what an instance knows of the fleet at one moment. It is immutable.
+// Snapshot is this instance's view of the fleet at one moment. It is immutable.
 type Snapshot struct {
-	Self    fleet.Instance // This instance as its current life.
-	Joined  bool           // This life is on the roster.
+	Self    fleet.Instance // This instance with its current incarnation.
+	Joined  bool           // This incarnation is on the roster.
 	Members []membership.Member
 	Roster  membership.Roster
-	Map     *placement.Map // Of the members that may take work.
+	Map     *placement.Map // Of the members that may get requests.
 	byRef   map[fleet.Ref]fleet.Instance
 }
 
-// Instance returns the instance of the roster with a reference.
+// Instance returns the instance on the roster that has a reference.
 func (s *Snapshot) Instance(ref fleet.Ref) (fleet.Instance, bool) {
 	i, ok := s.byRef[ref]
 	return i, ok
 }
 
-// Options are the settings of a Duty.
+// Options configure a Manager.
 type Options struct {
 	Self      fleet.Instance
 	Config    membership.Config
-	RosterKey string // Of the record in the store.
+	RosterKey string // Key of the roster record in the store.
 	Random    *rand.Rand
 	Loop      *control.Loop
 	Sender    control.Sender
 	Store     metastore.Store
-	Budget    *storecall.Budget // Nil for no bound.
+	Budget    *storecall.Budget // Unlimited when nil.
 	Log       *slog.Logger
-	// OnChange is told of each new snapshot on the control goroutine.
+	// OnChange is called with each new snapshot. All callbacks run on the control goroutine.
 	OnChange func(now time.Time, s *Snapshot)
-	// OnRejoined is told on the control goroutine that this instance is another life from now on.
+	// OnRejoined is called when this instance continues as a new incarnation.
 	OnRejoined func(self fleet.Instance)
-	// OnSuperseded is told on the control goroutine that another process has this instance's ID.
+	// OnSuperseded is called when another process has this instance's ID.
 	OnSuperseded func(by fleet.Instance)
 }
 
-// Manager is the membership of one instance.
+// Manager runs the membership of one instance.
 type Manager struct {
-	o        Options
+	options  Options
 	ctx      context.Context
 	machine  *membership.Machine
 	store    *storecall.Store
 	snapshot atomic.Pointer[Snapshot]
-	hints    atomic.Pointer[map[fleet.Ref]fleet.Instance]
-	last     membership.Counters
+	hints    atomic.Pointer[map[fleet.Ref]fleet.Instance] // From the platform's list and from join requests.
+	reported membership.Counters                          // At the last report.
 	refused  refusals.Tally
 }
 
-// New returns the duty of an instance that has not begun to join. ctx bounds its calls of the store.
+// New returns the Manager of an instance that has not begun to join. ctx bounds its store calls.
 func New(ctx context.Context, o Options) *Manager {
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	d := &Manager{
-		o:       o,
+	m := &Manager{
+		options: o,
 		ctx:     ctx,
 		machine: membership.NewMachine(o.Config, o.Self, o.Random),
 		store:   storecall.New(o.Store, "membership", o.Budget),
 	}
-	d.hints.Store(&map[fleet.Ref]fleet.Instance{})
-	d.snapshot.Store(d.take())
-	return d
+	m.hints.Store(&map[fleet.Ref]fleet.Instance{})
+	m.snapshot.Store(m.newSnapshot())
+	return m
 }
 
 // Snapshot returns the latest snapshot, never nil. Any goroutine may call it.
-func (d *Manager) Snapshot() *Snapshot {
-	return d.snapshot.Load()
+func (m *Manager) Snapshot() *Snapshot {
+	return m.snapshot.Load()
 }
 
-// Resolve returns the instance of a reference from the snapshot, the platform's list and
-// the instances that asked to join. Any goroutine may call it.
-func (d *Manager) Resolve(ref fleet.Ref) (fleet.Instance, bool) {
-	if i, ok := d.Snapshot().Instance(ref); ok {
+// Resolve returns the instance of a reference from the snapshot, the platform's list or the
+// join requests received. Any goroutine may call it.
+func (m *Manager) Resolve(ref fleet.Ref) (fleet.Instance, bool) {
+	if i, ok := m.Snapshot().Instance(ref); ok {
 		return i, true
 	}
-	i, ok := (*d.hints.Load())[ref]
+	i, ok := (*m.hints.Load())[ref]
 	return i, ok
 }
 
 // Start begins to join. hints is the platform's list. It must run on the control goroutine.
-func (d *Manager) Start(now time.Time, hints []fleet.Instance) {
-	d.noteHints(hints)
-	d.run(now, d.machine.Start(now, hints))
+func (m *Manager) Start(now time.Time, hints []fleet.Instance) {
+	m.setHints(hints)
+	m.run(now, m.machine.Start(now, hints))
 }
 
-// InstancesListed takes the platform's list whenever it was read. It must run on the control goroutine.
-func (d *Manager) InstancesListed(now time.Time, instances []fleet.Instance) {
-	d.noteHints(instances)
-	d.run(now, d.machine.InstancesListed(now, instances))
+// InstancesListed handles a new read of the platform's list. It must run on the control goroutine.
+func (m *Manager) InstancesListed(now time.Time, instances []fleet.Instance) {
+	m.setHints(instances)
+	m.run(now, m.machine.InstancesListed(now, instances))
 }
 
-// SetRevision sets the configuration revision in force here. It must run on the control goroutine.
-func (d *Manager) SetRevision(r fleet.Revision) {
-	d.machine.SetRevision(r)
+// SetRevision sets this instance's active configuration revision. It must run on the control goroutine.
+func (m *Manager) SetRevision(r fleet.Revision) {
+	m.machine.SetRevision(r)
 }
 
-// NeighbourAhead returns the neighbour with the highest configuration above this instance's.
-// It must run on the control goroutine.
-func (d *Manager) NeighbourAhead() (fleet.Instance, fleet.Revision, bool) {
-	return d.machine.NeighbourAhead()
+// NeighbourAhead returns the neighbour with the highest configuration revision above this
+// instance's, and that revision. It must run on the control goroutine.
+func (m *Manager) NeighbourAhead() (fleet.Instance, fleet.Revision, bool) {
+	return m.machine.NeighbourAhead()
 }
 
 // Neighbours returns the instances that this one exchanges heartbeats with. It must run on
 // the control goroutine.
-func (d *Manager) Neighbours() []fleet.Instance {
-	return d.machine.Neighbours()
+func (m *Manager) Neighbours() []fleet.Instance {
+	return m.machine.Neighbours()
 }
 
-// Counters returns the machine's counts. It must run on the control goroutine.
-func (d *Manager) Counters() membership.Counters {
-	return d.machine.Counters()
+// Counters returns the counters of the membership protocol. It must run on the control goroutine.
+func (m *Manager) Counters() membership.Counters {
+	return m.machine.Counters()
 }
 
 // Leave announces a planned stop. It must run on the control goroutine.
-func (d *Manager) Leave(now time.Time) {
-	d.run(now, d.machine.Leave(now))
+func (m *Manager) Leave(now time.Time) {
+	m.run(now, m.machine.Leave(now))
 }
 
 // Stop announces that this instance exits now. It must run on the control goroutine.
-func (d *Manager) Stop(now time.Time) {
-	d.run(now, d.machine.Stop(now))
+func (m *Manager) Stop(now time.Time) {
+	m.run(now, m.machine.Stop(now))
 }
 
 // Kinds implements control.Component.
-func (d *Manager) Kinds() []wire.Kind {
+func (m *Manager) Kinds() []wire.Kind {
 	return []wire.Kind{wire.KindMembership}
 }
 
 // Deliver implements control.Component. It returns wire.ErrMalformed.
-func (d *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
+func (m *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	var msg membership.Message
 	if err := wire.DecodeBody(e, &msg); err != nil {
 		return err
 	}
 	if msg.Join != nil && msg.Join.Ref == from {
-		d.noteHint(*msg.Join)
+		m.addHint(*msg.Join)
 	}
-	d.run(now, d.machine.Deliver(now, from, msg))
+	m.run(now, m.machine.Deliver(now, from, msg))
 	return nil
 }
 
 // Tick implements control.Component.
-func (d *Manager) Tick(now time.Time) {
-	d.run(now, d.machine.Tick(now))
-	d.report()
+func (m *Manager) Tick(now time.Time) {
+	m.run(now, m.machine.Tick(now))
+	m.report()
 }
 
-// report counts what the machine has refused since the last call.
-func (d *Manager) report() {
-	c := d.machine.Counters()
-	if c == d.last {
+// report adds the messages and writes rejected since the last call to the process counters.
+func (m *Manager) report() {
+	c := m.machine.Counters()
+	if c == m.reported {
 		return
 	}
-	d.last = c
-	d.refused.Report(map[result.Code]uint64{
+	m.reported = c
+	m.refused.Report(map[result.Code]uint64{
 		result.CodePeerOtherFleet:  c.OtherFleet,
 		result.CodePeerMalformed:   c.Malformed,
 		result.CodePeerIncarnation: c.OldIncarnation + c.Unknown,
@@ -183,78 +183,78 @@
 	})
 }
 
-// run carries out the machine's effects.
-func (d *Manager) run(now time.Time, effects []membership.Effect) {
+// run executes the effects that the membership machine returned.
+func (m *Manager) run(now time.Time, effects []membership.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case membership.Send:
-			d.o.Sender.Send(e.To.Ref, wire.KindMembership, e.Message)
+			m.options.Sender.Send(e.To.Ref, wire.KindMembership, e.Message)
 		case membership.ReadRoster:
-			go d.read()
+			go m.read()
 		case membership.WriteRoster:
-			go d.write(e.Roster)
+			go m.write(e.Roster)
 		case membership.Changed:
-			d.publish(now)
+			m.publish(now)
 		case membership.Rejoined:
-			d.rejoined(now, e.Self)
+			m.rejoined(now, e.Self)
 		case membership.Superseded:
-			d.superseded(e.By)
+			m.superseded(e.By)
 		}
 	}
 }
 
-func (d *Manager) publish(now time.Time) {
-	s := d.take()
-	d.snapshot.Store(s)
-	if d.o.Budget != nil {
-		d.o.Budget.SetFleetSize(len(s.Members))
+func (m *Manager) publish(now time.Time) {
+	s := m.newSnapshot()
+	m.snapshot.Store(s)
+	if m.options.Budget != nil {
+		m.options.Budget.SetFleetSize(len(s.Members))
 	}
-	if d.o.OnChange != nil {
-		d.o.OnChange(now, s)
+	if m.options.OnChange != nil {
+		m.options.OnChange(now, s)
 	}
 }
 
-func (d *Manager) rejoined(now time.Time, self fleet.Instance) {
-	d.o.Log.Warn("taken off the roster; joining as the next incarnation", "incarnation", self.Ref.Incarnation)
-	if d.o.OnRejoined != nil {
-		d.o.OnRejoined(self)
+func (m *Manager) rejoined(now time.Time, self fleet.Instance) {
+	m.options.Log.Warn("instance was removed from the roster; rejoining as the next incarnation", "incarnation", self.Ref.Incarnation)
+	if m.options.OnRejoined != nil {
+		m.options.OnRejoined(self)
 	}
-	d.publish(now)
+	m.publish(now)
 }
 
-func (d *Manager) superseded(by fleet.Instance) {
-	d.o.Log.Error("another process has this instance's ID", "incarnation", d.o.Self.Ref.Incarnation, "by", by.Ref.String())
-	if d.o.OnSuperseded != nil {
-		d.o.OnSuperseded(by)
+func (m *Manager) superseded(by fleet.Instance) {
+	m.options.Log.Error("another process has this instance's ID", "incarnation", m.options.Self.Ref.Incarnation, "by", by.Ref.String())
+	if m.options.OnSuperseded != nil {
+		m.options.OnSuperseded(by)
 	}
 }
 
-// take returns a snapshot of the machine.
-func (d *Manager) take() *Snapshot {
+// newSnapshot returns a snapshot of the current state.
+func (m *Manager) newSnapshot() *Snapshot {
 	s := &Snapshot{
-		Self:    d.machine.Self(),
-		Joined:  d.machine.Joined(),
-		Members: d.machine.Members(),
-		Roster:  d.machine.Roster(),
+		Self:    m.machine.Self(),
+		Joined:  m.machine.Joined(),
+		Members: m.machine.Members(),
+		Roster:  m.machine.Roster(),
 	}
 	s.byRef = make(map[fleet.Ref]fleet.Instance, len(s.Roster.Instances))
 	for _, i := range s.Roster.Instances {
 		s.byRef[i.Ref] = i
 	}
-	s.Map = d.mapOf(working(s.Members))
+	s.Map = m.mapOf(availableInstances(s.Members))
 	return s
 }
 
-// mapOf returns the map of some instances: the last one, with its caches, when they are the same.
-func (d *Manager) mapOf(instances []fleet.Instance) *placement.Map {
-	if last := d.snapshot.Load(); last != nil && slices.Equal(last.Map.Instances(), instances) {
+// mapOf returns the placement map of instances. It reuses the last map, with its caches, if the instances are the same.
+func (m *Manager) mapOf(instances []fleet.Instance) *placement.Map {
+	if last := m.snapshot.Load(); last != nil && slices.Equal(last.Map.Instances(), instances) {
 		return last.Map
 	}
 	return placement.NewMap(instances)
 }
 
-// working returns the members that may take work: neither dead, leaving nor out of reach.
-func working(members []membership.Member) []fleet.Instance {
+// availableInstances returns the members that may get requests: reachable and neither dead nor leaving.
+func availableInstances(members []membership.Member) []fleet.Instance {
 	instances := make([]fleet.Instance, 0, len(members))
 	for _, m := range members {
 		if m.Reachable && (m.Status == membership.StatusAlive || m.Status == membership.StatusSuspect) {
@@ -264,26 +264,26 @@
 	return instances
 }
 
-func (d *Manager) noteHints(instances []fleet.Instance) {
+func (m *Manager) setHints(instances []fleet.Instance) {
 	hints := make(map[fleet.Ref]fleet.Instance, len(instances))
 	for _, i := range instances {
 		hints[i.Ref] = i
 	}
-	d.hints.Store(&hints)
+	m.hints.Store(&hints)
 }
 
-// maxHints bounds the instances that are remembered as joining.
+// maxHints bounds the hints, to which each join request may add one.
 const maxHints = 4096
 
-func (d *Manager) noteHint(i fleet.Instance) {
-	former := *d.hints.Load()
-	if former[i.Ref] == i || len(former) >= maxHints {
+func (m *Manager) addHint(i fleet.Instance) {
+	previous := *m.hints.Load()
+	if previous[i.Ref] == i || len(previous) >= maxHints {
 		return
 	}
-	hints := make(map[fleet.Ref]fleet.Instance, len(former)+1)
-	for ref, known := range former {
-		hints[ref] = known
+	hints := make(map[fleet.Ref]fleet.Instance, len(previous)+1)
+	for ref, instance := range previous {
+		hints[ref] = instance
 	}
 	hints[i.Ref] = i
-	d.hints.Store(&hints)
+	m.hints.Store(&hints)
 }
--- a/internal/members/store.go
+++ b/internal/members/store.go
@@ -10,55 +10,55 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// callTimeout bounds one call of the store.
+// callTimeout bounds one read, or one read and write, of the roster record.
 const callTimeout = 10 * time.Second
 
-// read reads the roster record and hands it to the machine.
-func (d *Manager) read() {
-	ctx, cancel := context.WithTimeout(d.ctx, callTimeout)
+// read reads the roster record and posts the result to the control goroutine.
+func (m *Manager) read() {
+	ctx, cancel := context.WithTimeout(m.ctx, callTimeout)
 	defer cancel()
-	roster, _, err := d.load(ctx)
-	d.o.Loop.Post(func(now time.Time) { d.run(now, d.machine.RosterRead(now, roster, err)) })
+	roster, _, err := m.load(ctx)
+	m.options.Loop.Post(func(now time.Time) { m.run(now, m.machine.RosterRead(now, roster, err)) })
 }
 
-// write swaps the roster record for the next generation and hands the outcome to the machine.
-func (d *Manager) write(next membership.Roster) {
-	ctx, cancel := context.WithTimeout(d.ctx, callTimeout)
+// write replaces the roster record by the next generation and posts the result to the control goroutine.
+func (m *Manager) write(next membership.Roster) {
+	ctx, cancel := context.WithTimeout(m.ctx, callTimeout)
 	defer cancel()
-	err := d.swap(ctx, next)
+	err := m.swap(ctx, next)
 	if err != nil {
-		d.o.Log.Warn("roster not written", "generation", next.Generation, "error", err.Error())
+		m.options.Log.Warn("roster not written", "generation", next.Generation, "error", err.Error())
 	}
-	d.o.Loop.Post(func(now time.Time) { d.run(now, d.machine.RosterWritten(now, next, err)) })
+	m.options.Loop.Post(func(now time.Time) { m.run(now, m.machine.RosterWritten(now, next, err)) })
 }
 
-func (d *Manager) load(ctx context.Context) (membership.Roster, metastore.Version, error) {
-	value, err := d.store.Get(ctx, d.o.RosterKey)
+func (m *Manager) load(ctx context.Context) (membership.Roster, metastore.Version, error) {
+	value, err := m.store.Get(ctx, m.options.RosterKey)
 	if errors.Is(err, metastore.ErrNotFound) {
 		return membership.Roster{}, 0, nil
 	}
 	if err != nil {
-		return membership.Roster{}, 0, fmt.Errorf("read roster %q: %w", d.o.RosterKey, err)
+		return membership.Roster{}, 0, fmt.Errorf("read roster %q: %w", m.options.RosterKey, err)
 	}
 	roster, err := membership.DecodeRoster(value.Data)
 	return roster, value.Version, err
 }
 
-// swap writes the record if it holds the generation before next, or a lower one that the
-// store has lost writes after. It returns membership.ErrConflict or membership.ErrUnknownResult.
-func (d *Manager) swap(ctx context.Context, next membership.Roster) error {
-	held, version, err := d.load(ctx)
+// swap writes next if the record has a lower generation: the one before next, or an earlier one
+// if the store lost writes. It returns membership.ErrConflict or membership.ErrUnknownResult.
+func (m *Manager) swap(ctx context.Context, next membership.Roster) error {
+	stored, version, err := m.load(ctx)
 	if err != nil {
 		return err
 	}
-	if held.Generation >= next.Generation {
-		return fmt.Errorf("%w: generation %d is stored, wrote %d", membership.ErrConflict, held.Generation, next.Generation)
+	if stored.Generation >= next.Generation {
+		return fmt.Errorf("%w: stored generation is %d, cannot write %d", membership.ErrConflict, stored.Generation, next.Generation)
 	}
 	data, err := membership.EncodeRoster(next)
 	if err != nil {
 		return err
 	}
-	_, err = d.store.CompareAndSwap(ctx, d.o.RosterKey, version, data, 0)
+	_, err = m.store.CompareAndSwap(ctx, m.options.RosterKey, version, data, 0)
 	switch {
 	case errors.Is(err, metastore.ErrConflict):
 		return fmt.Errorf("%w: generation %d: %w", membership.ErrConflict, next.Generation, err)
