--- a/internal/claims/answers.go
+++ b/internal/claims/answers.go
@@ -10,7 +10,7 @@
 	"github.com/damaskcove/damaskcove/internal/exchange"
 )
 
-// outcomeOf returns the outcome that records an executor's answer.
+// outcomeOf returns the outcome to record for an executor's answer.
 func outcomeOf(a exchange.Answer) (claim.Outcome, error) {
 	o := claim.Outcome{Result: claim.ResultUnknown, Reason: claim.ReasonNoAnswer}
 	switch a.Execution {
@@ -27,7 +27,7 @@
 	return o, nil
 }
 
-// answerOf returns the answer to callers for an outcome.
+// answerOf returns the answer to the caller for an outcome.
 func answerOf(o claim.Outcome) exchange.Answer {
 	if len(o.Answer) > 0 {
 		return storedAnswer(o)
@@ -38,14 +38,14 @@
 	case claim.ResultNotRun:
 		return exchange.Refusal(notRunCode(o.Reason), "")
 	case claim.ResultRefused:
-		return refuse(o.Reason)
+		return refusalAnswer(o.Reason)
 	default:
 		return exchange.Refusal(unknownCode(o.Reason), "")
 	}
 }
 
-// storedAnswer decodes the answer that an outcome holds. The outcome's result has the last
-// word on the execution.
+// storedAnswer decodes the answer that an outcome holds. The execution is set from the
+// outcome's result, whatever the stored answer says.
 func storedAnswer(o claim.Outcome) exchange.Answer {
 	var a exchange.Answer
 	if err := cbor.Unmarshal(o.Answer, &a); err != nil {
@@ -87,8 +87,8 @@
 	}
 }
 
-// refuse returns the answer to a submission that the machine refused.
-func refuse(reason claim.Reason) exchange.Answer {
+// refusalAnswer returns the answer to a submission that claim.Machine refused.
+func refusalAnswer(reason claim.Reason) exchange.Answer {
 	switch reason {
 	case claim.ReasonExpired:
 		return exchange.AttemptRefusal(result.CodeTicketExpired, "")
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -20,12 +20,12 @@
 
 // Executor sends requests to upstreams.
 type Executor interface {
-	// Execute makes one attempt at an upstream. The answer's Execution says NotRun only when
-	// no byte left or the upstream refused the request before starting it.
+	// Execute makes one attempt at an upstream. The answer's Execution is NotRun only if no byte
+	// was sent or the upstream refused the request before starting it.
 	Execute(ctx context.Context, r exchange.Request) exchange.Answer
 }
 
-// Options are what New needs. All but Limits and Log must be set.
+// Options configure Claims. All fields but Limits and Log are required.
 type Options struct {
 	Fleet    string
 	Self     fleet.Instance
@@ -34,54 +34,54 @@
 	Relay    relay.Caller
 	Executor Executor
 	Keys     *claim.Keyring
-	Limits   claim.Limits // Zeros take their defaults.
+	Limits   claim.Limits // Zero fields take their defaults.
 	Log      *slog.Logger // slog.Default when nil.
 }
 
-// Claims is the duty that runs keyed requests.
+// Claims is the control.Component that runs keyed requests.
 type Claims struct {
-	fleet    string
-	self     fleet.Ref
-	loop     *control.Loop
-	sender   control.Sender
-	relay    relay.Caller
-	executor Executor
-	keys     atomic.Pointer[claim.Keyring]
-	log      *slog.Logger
-	work     conc.WaitGroup // Executions.
-	codes    *expvar.Map
-	table    atomic.Pointer[TableSize]
-	stopped  chan struct{} // Closed when a planned stop has handed everything over.
-
-	// The control goroutine's.
+	fleet         string
+	self          fleet.Ref
+	loop          *control.Loop
+	sender        control.Sender
+	relay         relay.Caller
+	executor      Executor
+	keys          atomic.Pointer[claim.Keyring]
+	log           *slog.Logger
+	executions    conc.WaitGroup
+	answersByCode *expvar.Map
+	table         atomic.Pointer[TableSize]
+	stopped       chan struct{} // Closed when a planned stop has handed over all outcomes.
+
+	// Owned by the control goroutine.
 	machine  *claim.Machine
-	calls    map[claim.Key]*call
-	lookups  map[uint64]*lookup
+	pending  map[claim.Key]*pendingRequest
+	lookups  map[uint64]*pendingLookup
 	lookupID uint64
-	idle     bool
+	drained  bool // stopped is closed.
 }
 
 // TableSize is the size of the table of keys.
 type TableSize struct {
 	Keys  int
-	Bytes int // By the table's own estimate.
+	Bytes int // Estimated by the table.
 }
 
-// New returns the duty of one life of an instance. The program adds it to the loop.
+// New returns the Claims of one incarnation of an instance. The caller adds it to the loop.
 func New(o Options) *Claims {
 	c := &Claims{
-		fleet:    o.Fleet,
-		self:     o.Self.Ref,
-		loop:     o.Loop,
-		sender:   o.Sender,
-		relay:    o.Relay,
-		executor: o.Executor,
-		log:      o.Log,
-		codes:    new(expvar.Map).Init(),
-		stopped:  make(chan struct{}),
-		machine:  claim.NewMachine(o.Self.Ref, o.Limits),
-		calls:    make(map[claim.Key]*call),
-		lookups:  make(map[uint64]*lookup),
+		fleet:         o.Fleet,
+		self:          o.Self.Ref,
+		loop:          o.Loop,
+		sender:        o.Sender,
+		relay:         o.Relay,
+		executor:      o.Executor,
+		log:           o.Log,
+		answersByCode: new(expvar.Map).Init(),
+		stopped:       make(chan struct{}),
+		machine:       claim.NewMachine(o.Self.Ref, o.Limits),
+		pending:       make(map[claim.Key]*pendingRequest),
+		lookups:       make(map[uint64]*pendingLookup),
 	}
 	if c.log == nil {
 		c.log = slog.Default()
@@ -96,8 +96,8 @@
 	c.keys.Store(keys)
 }
 
-// Issue returns the text of a ticket of this fleet, or "" when the ticket names no home or
-// the same instance twice.
+// Issue signs a ticket for this fleet and returns its text, or "" if the ticket names no home
+// or the same instance as home and witness.
 func (c *Claims) Issue(t claim.Ticket) string {
 	t.Fleet = c.fleet
 	text, err := c.keys.Load().Sign(t)
@@ -108,13 +108,13 @@
 	return text
 }
 
-// Vars returns this duty's count of answers by the name of their code. The variable
-// "claim_answers" counts those of the process.
+// Vars returns this instance's counts of answers by the name of their code. The expvar
+// "claim_answers" has those of the whole process.
 func (c *Claims) Vars() *expvar.Map {
-	return c.codes
+	return c.answersByCode
 }
 
-// Table returns the size of the table of keys at the last tick.
+// Table returns the size of the table of keys as of the last tick.
 func (c *Claims) Table() TableSize {
 	return *c.table.Load()
 }
@@ -134,7 +134,7 @@
 	case wire.KindOutcomeReply:
 		return c.deliverReply(e)
 	default:
-		return fmt.Errorf("%w: kind %d is not of claims", wire.ErrMalformed, e.Kind)
+		return fmt.Errorf("%w: kind %d is not handled by claims", wire.ErrMalformed, e.Kind)
 	}
 }
 
@@ -159,14 +159,14 @@
 	c.apply(c.machine.Tick(now))
 	c.resendLookups(now)
 	c.table.Store(&TableSize{Keys: c.machine.Len(), Bytes: c.machine.Bytes()})
-	if !c.idle && c.machine.Drained() {
-		c.idle = true
+	if !c.drained && c.machine.Drained() {
+		c.drained = true
 		close(c.stopped)
 	}
 }
 
-// Stop makes the planned stop: no further key is taken, and the outcomes that other instances
-// lack are handed over. It returns nil when all are, or ctx's error.
+// Stop begins a planned stop: no new key is accepted, and outcomes that other instances lack
+// are handed over to them. It returns nil once all are handed over, or ctx's error.
 func (c *Claims) Stop(ctx context.Context) error {
 	posted := c.loop.Post(func(now time.Time) { c.apply(c.machine.Stop(now)) })
 	if !posted {
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -13,7 +13,7 @@
 	"github.com/damaskcove/damaskcove/internal/exchange"
 )
 
-func TestRetriesAtAnyInstanceGetTheOneAnswer(t *testing.T) {
+func TestRetryAtAnyInstanceReturnsTheSameAnswer(t *testing.T) {
 	for _, first := range []fleet.Ref{home, witness, third} {
 		inFleet(t, claim.Limits{}, func(f *testFleet) {
 			r := f.request("a")
@@ -30,9 +30,9 @@
 	}
 }
 
-func TestCallersAtOnceGetTheOneAnswer(t *testing.T) {
+func TestConcurrentCallersShareOneExecution(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
-		f.slowly(time.Second)
+		f.delayExecution(time.Second)
 		r := f.request("a")
 		answers := make(chan exchange.Answer)
 		for _, at := range []fleet.Ref{home, home, third, third, witness, witness} {
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestLostReplyIsToldByTheWitness(t *testing.T) {
+func TestWitnessAnswersWhenTheHomesReplyIsLost(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.setCut(home, third, true)
 		f.expect("order", f.do(third, f.request("a")), result.CodeAnswered, result.Ran)
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestWitnessRunsWhatTheHomeCannotBeAsked(t *testing.T) {
+func TestWitnessRunsTheRequestWhenTheHomeIsDown(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.kill(home)
 		r := f.request("a")
@@ -63,9 +63,9 @@
 	})
 }
 
-func TestHomeThatDiesAfterItsClaimLeavesTheOutcomeUnknown(t *testing.T) {
+func TestHomeCrashDuringExecutionLeavesTheOutcomeUnknown(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
-		f.slowly(time.Second)
+		f.delayExecution(time.Second)
 		time.AfterFunc(500*time.Millisecond, func() { f.kill(home) })
 		r := f.request("a")
 		f.expect("order", f.do(third, r), result.CodeOutcomeUnknown, result.Unknown)
@@ -74,7 +74,8 @@
 	})
 }
 
-// The witness's grants never arrive: the home seals the key and does not say that it knows more.
+// The witness's grants never reach the home. The home seals the key and answers only that this
+// attempt did not run; the witness answers that the key is sealed.
 func TestOneWayPartitionRunsNothing(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.setCut(witness, home, true)
@@ -88,7 +89,7 @@
 	})
 }
 
-func TestRelayedOrderThatTheHomeSealsIsToldSo(t *testing.T) {
+func TestRelayedRequestSealedByTheHomeIsUnknown(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.setCut(home, witness, true)
 		f.setCut(third, witness, true)
@@ -98,14 +99,14 @@
 	})
 }
 
-// Without a link to its witness the home refuses at once.
-func TestHomeWithoutALinkToItsWitnessTakesNoPart(t *testing.T) {
+// Without a link to the witness the home declines at once instead of waiting for a grant.
+func TestHomeDeclinesWithoutALinkToTheWitness(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.kill(witness)
 		for _, at := range []fleet.Ref{home, third} {
-			begun := time.Now()
+			started := time.Now()
 			f.expect("order", f.do(at, f.request("a")), result.CodeAttemptNotRun, result.Unknown)
-			if waited := time.Since(begun); waited > 10*hopTime {
+			if waited := time.Since(started); waited > 10*hopTime {
 				t.Errorf("answered at %s after %s", at, waited)
 			}
 		}
@@ -113,7 +114,7 @@
 	})
 }
 
-func TestBothInstancesGoneRunsNothing(t *testing.T) {
+func TestRequestIsNotRunWhenHomeAndWitnessAreDown(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.kill(home)
 		f.kill(witness)
@@ -123,11 +124,11 @@
 	})
 }
 
-func TestRestartedHomeLeavesTheKeyToTheWitness(t *testing.T) {
+func TestRestartedHomeDeclinesAndTheWitnessRuns(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		r := f.request("a")
 		f.kill(home)
-		next := fleet.Ref{ID: "reborn", Incarnation: 2}
+		next := fleet.Ref{ID: "restarted", Incarnation: 2}
 		f.start(next, claim.Limits{})
 		f.expect("relayed", f.nodes[next].claims.HandleRelayed(context.Background(), third, claim.RoleHome, r), result.CodeTicketIncarnation, result.Unknown)
 		f.expect("order", f.do(next, r), result.CodeAnswered, result.Ran)
@@ -135,16 +136,16 @@
 	})
 }
 
-// A key that came to harm on the way may be a retry of one that ran: no refusal says not-run.
-func TestBadKeysAreRefusedByCode(t *testing.T) {
+// A corrupted key may belong to a retry of a request that ran, so no refusal may answer not-run.
+func TestInvalidKeysAreRefusedByCode(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		good := f.request("a")
 		ticket := good.Key[:len(good.Key)-2]
 		expired := claim.Ticket{Home: home, Witness: witness, Service: "drums", Account: "kerri", Expires: time.Now()}
 		foreign := expired
 		foreign.Fleet, foreign.Expires = "g", time.Now().Add(time.Hour)
-		forger := ring(t, claim.SigningKey{ID: 1, Secret: []byte("not the fleet's secret")})
-		retired := ring(t, claim.SigningKey{ID: 9, Secret: fleetKey.Secret})
+		forger := newKeyring(t, claim.SigningKey{ID: 1, Secret: []byte("not the fleet's secret")})
+		retired := newKeyring(t, claim.SigningKey{ID: 9, Secret: fleetKey.Secret})
 		cases := []struct {
 			name, key string
 			code      result.Code
@@ -155,7 +156,7 @@
 			{"truncated", ticket[:40] + ".a", result.CodeTicketMalformed},
 			{"forged", sign(t, forger, foreign) + ".a", result.CodeTicketForged},
 			{"retired signing key", sign(t, retired, foreign) + ".a", result.CodeTicketForged},
-			{"other fleet", sign(t, ring(t, fleetKey), foreign) + ".a", result.CodeTicketOtherFleet},
+			{"other fleet", sign(t, newKeyring(t, fleetKey), foreign) + ".a", result.CodeTicketOtherFleet},
 			{"expired", f.nodes[home].claims.Issue(expired) + ".a", result.CodeTicketExpired},
 		}
 		for _, c := range cases {
@@ -171,7 +172,7 @@
 		f.expect("other account", f.do(home, r), result.CodeTicketOtherAccount, result.Unknown)
 		f.expectRuns(0)
 		if got := f.nodes[home].claims.Vars().Get("ticket-expired").String(); got != "2" {
-			t.Errorf("ticket-expired counted %s times", got)
+			t.Errorf("ticket-expired counted %s times, want 2", got)
 		}
 	})
 }
@@ -197,9 +198,9 @@
 	})
 }
 
-func TestCallerGoneWhileItRuns(t *testing.T) {
+func TestCallerCancelsDuringExecution(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
-		f.slowly(time.Second)
+		f.delayExecution(time.Second)
 		r := f.request("a")
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		time.AfterFunc(50*time.Millisecond, cancel)
@@ -210,7 +211,7 @@
 	})
 }
 
-func TestCallerGoneBeforeTheGrantSealsTheKey(t *testing.T) {
+func TestCallerCancelBeforeTheGrantSealsTheKey(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.setCut(home, witness, true)
 		r := f.request("a")
@@ -223,9 +224,9 @@
 	})
 }
 
-func TestShedOrderIsSealed(t *testing.T) {
+func TestShedRequestIsSealed(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
-		f.runWith(func(context.Context, exchange.Request) exchange.Answer {
+		f.setExecution(func(context.Context, exchange.Request) exchange.Answer {
 			return exchange.Refusal(result.CodeShedDeadline, "")
 		})
 		r := f.request("a")
@@ -236,7 +237,7 @@
 	})
 }
 
-func TestExecutorsFailures(t *testing.T) {
+func TestExecutorFailuresLeaveTheOutcomeUnknown(t *testing.T) {
 	runs := map[string]func(context.Context, exchange.Request) exchange.Answer{
 		"panic": func(context.Context, exchange.Request) exchange.Answer { panic("executor") },
 		"cut off": func(context.Context, exchange.Request) exchange.Answer {
@@ -246,7 +247,7 @@
 	}
 	for name, run := range runs {
 		inFleet(t, claim.Limits{}, func(f *testFleet) {
-			f.runWith(run)
+			f.setExecution(run)
 			r := f.request("a")
 			for _, at := range []fleet.Ref{third, home, witness} {
 				if a := f.do(at, r); a.Execution != result.Unknown {
@@ -258,7 +259,7 @@
 	}
 }
 
-func TestLargeAnswerReachesTheCallerThatWaits(t *testing.T) {
+func TestLargeAnswerIsReturnedButNotKept(t *testing.T) {
 	inFleet(t, claim.Limits{MaxAnswerBytes: 10}, func(f *testFleet) {
 		f.setCut(third, home, true)
 		r := f.request("a")
@@ -269,7 +270,7 @@
 	})
 }
 
-func TestFullTableSaysNothingOfTheKey(t *testing.T) {
+func TestFullTableLeavesTheExecutionUnknown(t *testing.T) {
 	inFleet(t, claim.Limits{MaxKeys: 1}, func(f *testFleet) {
 		f.do(home, f.request("a"))
 		f.expect("order", f.do(home, f.request("b")), result.CodeClaimTableFull, result.Unknown)
@@ -277,7 +278,7 @@
 	})
 }
 
-func TestPlannedStopLeavesTheOutcomesWithTheWitness(t *testing.T) {
+func TestPlannedStopHandsTheOutcomesToTheWitness(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.setCut(witness, home, true)
 		f.setCut(home, witness, true)
@@ -286,7 +287,7 @@
 		time.Sleep(100 * time.Millisecond)
 		f.setCut(witness, home, false)
 		f.setCut(home, witness, false)
-		f.slowly(time.Second)
+		f.delayExecution(time.Second)
 		running := f.request("running")
 		answered := make(chan exchange.Answer)
 		go func() { answered <- f.do(home, running) }()
@@ -299,7 +300,7 @@
 		f.kill(home)
 		f.expect("running", f.lookup(third, running), result.CodeAnswered, result.Ran)
 		if a := f.do(third, early); a.Execution == result.Unknown {
-			t.Errorf("order that waited at the stop: %+v", a)
+			t.Errorf("order that was pending when the stop began: %+v", a)
 		}
 		f.expectRuns(3)
 	})
@@ -309,20 +310,20 @@
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.do(home, f.request("a"))
 		time.Sleep(time.Second)
-		f.slowly(time.Hour)
+		f.delayExecution(time.Hour)
 		go f.do(home, f.request("b"))
 		synctest.Wait()
 		time.Sleep(time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := f.nodes[home].claims.Stop(ctx); err == nil {
-			t.Error("stopped while an order runs")
+			t.Error("Stop returned nil while an order was running")
 		}
 		time.Sleep(time.Hour)
 	})
 }
 
-func TestEndedLoopRefuses(t *testing.T) {
+func TestRequestAfterTheLoopEndedIsRefused(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.kill(home)
 		synctest.Wait()
--- a/internal/claims/doc.go
+++ b/internal/claims/doc.go
@@ -1,17 +1,17 @@
-// Package claims runs keyed requests through the claim protocol of package claim.
+// Package claims runs requests that carry an idempotency key with the protocol of package claim.
 //
-// A caller sends the header "Idempotency-Key: <ticket>.<unique>" with its request, to
-// whichever instance. The instance plays its own part when the ticket names it, and passes the
-// request on otherwise: to the home first, and to the witness when the home cannot be reached
-// or does not reply within its share of the deadline.
+// A caller sends the header "Idempotency-Key: <ticket>.<unique>" with its request to any
+// instance. The ticket names two instances, the home and the witness. If it names this
+// instance, the request runs here in that role. Otherwise it is relayed: to the home first, and
+// to the witness if the home is unreachable or does not reply within its share of the deadline.
 //
 // Guarantees:
 //
 //   - A key is executed at most once over the fleet.
-//   - An answer with the execution "not-run" is given only for a key that never runs. A
-//     refusal that concerns one attempt only has the execution "unknown".
-//   - Each call of Do, Relayed and Lookup returns by the deadline of its request or context.
+//   - An answer has the execution "not-run" only if its key never runs. A refusal of a single
+//     attempt has the execution "unknown", because another attempt may have run the key or may run it later.
+//   - Do, HandleRelayed and Lookup return by the deadline of their request or context.
 //
-// Claims is a duty of the control goroutine. Its exported methods are safe for concurrent
-// use, but for Kinds, Deliver and Tick, which are the control goroutine's.
+// Claims is a control.Component. Kinds, Deliver and Tick run on the control goroutine; its
+// other exported methods are safe for concurrent use.
 package claims
--- a/internal/claims/fleet_test.go
+++ b/internal/claims/fleet_test.go
@@ -19,17 +19,17 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// hopTime is the time of a message from one instance to another.
+// hopTime is the one-way latency between two instances.
 const hopTime = time.Millisecond
 
-// testFleet is a home, a witness and a third instance with links that can be cut one way.
+// testFleet is a home, a witness and a third instance. Each direction of a link can be cut.
 type testFleet struct {
 	t     testing.TB
 	hop   time.Duration
 	mu    sync.Mutex
 	nodes map[fleet.Ref]*testNode
 	cut   map[[2]fleet.InstanceID]bool // From, to.
-	down  map[fleet.InstanceID]bool    // No link to it: a call does not leave.
+	down  map[fleet.InstanceID]bool    // No link to it: a call is not sent.
 	runs  []string                     // Bodies executed, in order.
 	run   func(ctx context.Context, r exchange.Request) exchange.Answer
 }
@@ -50,7 +50,7 @@
 	fleetKey = claim.SigningKey{ID: 1, Secret: []byte("0123456789abcdef")}
 )
 
-// inFleet runs a test on a fleet in a bubble with a clock of its own.
+// inFleet runs a test on a new fleet in a synctest bubble, which has a fake clock.
 func inFleet(t *testing.T, limits claim.Limits, test func(f *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, hopTime, limits)
@@ -80,7 +80,7 @@
 	return f
 }
 
-func ring(t testing.TB, keys ...claim.SigningKey) *claim.Keyring {
+func newKeyring(t testing.TB, keys ...claim.SigningKey) *claim.Keyring {
 	t.Helper()
 	r, err := claim.NewKeyring(keys)
 	if err != nil {
@@ -92,11 +92,11 @@
 func (f *testFleet) start(ref fleet.Ref, limits claim.Limits) {
 	n := &testNode{f: f, ref: ref}
 	n.loop = control.NewLoop(func(from fleet.Ref, kind wire.Kind, err error) {
-		f.t.Errorf("%s refuses message %d of %s: %v", ref, kind, from, err)
+		f.t.Errorf("%s rejects message of kind %d from %s: %v", ref, kind, from, err)
 	})
 	n.claims = New(Options{
 		Fleet: "f", Self: fleet.Instance{Ref: ref}, Loop: n.loop, Sender: n, Relay: n,
-		Executor: n, Keys: ring(f.t, fleetKey), Limits: limits,
+		Executor: n, Keys: newKeyring(f.t, fleetKey), Limits: limits,
 		Log: slog.New(slog.NewJSONHandler(io.Discard, nil)),
 	})
 	n.loop.Add(n.claims)
@@ -118,14 +118,14 @@
 	f.cut[[2]fleet.InstanceID{from.ID, to.ID}] = cut
 }
 
-// kill ends an instance: nothing reaches it and its links are down.
+// kill ends an instance and takes down its links.
 func (f *testFleet) kill(ref fleet.Ref) {
 	f.set(f.down, ref.ID)
 	f.nodes[ref].end()
 }
 
-// passes reports whether a message from one instance reaches another.
-func (f *testFleet) passes(from, to fleet.Ref) bool {
+// delivers reports whether a message from one instance would reach another.
+func (f *testFleet) delivers(from, to fleet.Ref) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.nodes[to] != nil && !f.down[to.ID] && !f.down[from.ID] && !f.cut[[2]fleet.InstanceID{from.ID, to.ID}]
@@ -143,7 +143,7 @@
 		if err != nil {
 			n.f.t.Errorf("decode: %v", err)
 		}
-		if n.f.passes(n.ref, to) {
+		if n.f.delivers(n.ref, to) {
 			n.f.nodes[to].loop.Deliver(n.ref, e)
 		}
 	}()
@@ -164,13 +164,13 @@
 	reply := make(chan exchange.Answer, 1)
 	go func() {
 		time.Sleep(n.f.hop)
-		if !n.f.passes(n.ref, to) {
+		if !n.f.delivers(n.ref, to) {
 			return
 		}
 		there, cancel := context.WithDeadline(context.Background(), r.Deadline)
 		defer cancel()
 		a := n.f.nodes[to].claims.HandleRelayed(there, n.ref, role, r)
-		if n.f.passes(to, n.ref) {
+		if n.f.delivers(to, n.ref) {
 			reply <- a
 		}
 	}()
@@ -191,23 +191,23 @@
 	return run(ctx, r)
 }
 
-// runWith sets what executions do from now on.
-func (f *testFleet) runWith(run func(ctx context.Context, r exchange.Request) exchange.Answer) {
+// setExecution replaces the function that executes requests.
+func (f *testFleet) setExecution(run func(ctx context.Context, r exchange.Request) exchange.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.run = run
 }
 
-// slowly makes executions take a time.
-func (f *testFleet) slowly(d time.Duration) {
+// delayExecution makes each execution take d longer.
+func (f *testFleet) delayExecution(d time.Duration) {
 	run := f.run
-	f.runWith(func(ctx context.Context, r exchange.Request) exchange.Answer {
+	f.setExecution(func(ctx context.Context, r exchange.Request) exchange.Answer {
 		time.Sleep(d)
 		return run(ctx, r)
 	})
 }
 
-// request returns an order with a key of a ticket that lives for ten minutes.
+// request returns an order whose ticket is valid for ten minutes.
 func (f *testFleet) request(unique string) exchange.Request {
 	ticket := claim.Ticket{Home: home, Witness: witness, Service: "drums", Account: "kerri", Expires: time.Now().Add(10 * time.Minute)}
 	return exchange.Request{
--- a/internal/claims/key.go
+++ b/internal/claims/key.go
@@ -16,31 +16,31 @@
 // KeyHeader is the header that carries a caller's key.
 const KeyHeader = "Idempotency-Key"
 
-// MaxUniqueBytes bounds the caller's own part of a key.
+// MaxUniqueBytes bounds the unique part of a key, which the caller chooses.
 const MaxUniqueBytes = 128
 
-// keySeparator stands between the ticket and the caller's own part. No ticket contains it.
+// keySeparator separates the ticket from the unique part. No ticket contains it.
 const keySeparator = "."
 
-// errUnique says that the caller's own part of a key is absent, too long or not printable.
-var errUnique = errors.New("unique part of the key not valid")
+// errInvalidUnique reports a unique part that is absent, too long or not printable.
+var errInvalidUnique = errors.New("unique part of the key not valid")
 
-// parseKey splits the text of a key.
+// parseKey splits the text of a key into its ticket and its unique part.
 func parseKey(text string) (claim.Key, error) {
 	ticket, unique, found := strings.Cut(text, keySeparator)
 	if !found || ticket == "" || unique == "" || len(unique) > MaxUniqueBytes {
-		return claim.Key{}, fmt.Errorf("%w: unique part of %d bytes, allowed are 1 to %d", errUnique, len(unique), MaxUniqueBytes)
+		return claim.Key{}, fmt.Errorf("%w: unique part of %d bytes, allowed are 1 to %d", errInvalidUnique, len(unique), MaxUniqueBytes)
 	}
 	for _, b := range []byte(unique) {
 		if b <= ' ' || b > '~' {
-			return claim.Key{}, fmt.Errorf("%w: byte %#02x", errUnique, b)
+			return claim.Key{}, fmt.Errorf("%w: byte %#02x", errInvalidUnique, b)
 		}
 	}
-	// Both parts are copied: text may hold the whole request in memory.
+	// Both parts are copied, because text may keep the memory of the whole request alive.
 	return claim.Key{Ticket: strings.Clone(ticket), Unique: strings.Clone(unique)}, nil
 }
 
-// openKey parses and authenticates the text of a key.
+// openKey parses the text of a key and verifies its ticket.
 func (c *Claims) openKey(text string) (claim.Key, claim.Ticket, error) {
 	key, err := parseKey(text)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return key, ticket, nil
 }
 
-// refuseKey returns the answer to a key that openKey refused.
-func refuseKey(err error) exchange.Answer {
+// keyErrorAnswer returns the answer for an error of openKey.
+func keyErrorAnswer(err error) exchange.Answer {
 	switch {
 	case errors.Is(err, claim.ErrExpired):
 		return exchange.AttemptRefusal(result.CodeTicketExpired, err.Error())
@@ -70,7 +70,7 @@
 	}
 }
 
-// fingerprint digests what makes a request itself: service, account, method, path and body.
+// fingerprint returns a digest of a request's service, account, method, URI and body, by which a reuse of its key for another request is detected.
 func fingerprint(r exchange.Request) claim.Fingerprint {
 	h := sha256.New()
 	var length [8]byte
--- a/internal/claims/local.go
+++ b/internal/claims/local.go
@@ -15,23 +15,23 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// waiter is one caller of a key at this instance.
+// waiter is one caller that waits for the outcome of a key.
 type waiter struct {
-	outcome chan claim.Outcome // Holds one.
+	outcome chan claim.Outcome // Has a buffer of one.
 }
 
-// lateWait bounds the wait for the control goroutine when a caller's deadline has passed.
-const lateWait = control.TickInterval
+// outcomeGrace bounds the wait for the control goroutine after a caller's deadline has passed.
+const outcomeGrace = control.TickInterval
 
-// call is a key with callers waiting at this instance.
-type call struct {
-	ctx     context.Context // Of the first caller, for its values.
+// pendingRequest is the request of a key that callers at this instance wait for.
+type pendingRequest struct {
+	ctx     context.Context // The first caller's; only its values are used.
 	request exchange.Request
 	waiters []*waiter
 }
 
-// local plays this instance's part for a key and waits for the answer until ctx ends.
-func (c *Claims) local(ctx context.Context, role claim.Role, r exchange.Request, s claim.Submission) exchange.Answer {
+// runLocal submits a key to this instance's machine in a role and waits for the answer until ctx ends.
+func (c *Claims) runLocal(ctx context.Context, role claim.Role, r exchange.Request, s claim.Submission) exchange.Answer {
 	w := &waiter{outcome: make(chan claim.Outcome, 1)}
 	posted := c.loop.Post(func(now time.Time) { c.submit(ctx, now, role, r, s, w) })
 	if !posted {
@@ -41,28 +41,29 @@
 	case o := <-w.outcome:
 		return answerOf(o)
 	case <-ctx.Done():
-		c.loop.Post(func(now time.Time) { c.leave(now, s.Key, w) })
-		return c.lateAnswer(ctx, w)
+		c.loop.Post(func(now time.Time) { c.removeWaiter(now, s.Key, w) })
+		return c.answerAtDeadline(ctx, w)
 	}
 }
 
-// lateAnswer returns what the machine says of the key of a caller that leaves at its deadline.
-func (c *Claims) lateAnswer(ctx context.Context, w *waiter) exchange.Answer {
+// answerAtDeadline returns the answer to a caller whose context has ended. After a deadline it is the
+// machine's current outcome of the key, if that arrives within outcomeGrace.
+func (c *Claims) answerAtDeadline(ctx context.Context, w *waiter) exchange.Answer {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return endedAnswer(ctx)
+		return contextEndedAnswer(ctx)
 	}
-	late := time.NewTimer(lateWait)
-	defer late.Stop()
+	grace := time.NewTimer(outcomeGrace)
+	defer grace.Stop()
 	select {
 	case o := <-w.outcome:
 		return answerOf(o)
-	case <-late.C:
-		return endedAnswer(ctx)
+	case <-grace.C:
+		return contextEndedAnswer(ctx)
 	}
 }
 
-// endedAnswer returns the answer to a caller whose context has ended.
-func endedAnswer(ctx context.Context) exchange.Answer {
+// contextEndedAnswer returns the answer to a caller whose context has ended.
+func contextEndedAnswer(ctx context.Context) exchange.Answer {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return exchange.Refusal(result.CodeCallerGone, "")
 	}
@@ -70,7 +71,7 @@
 }
 
 func (c *Claims) submit(ctx context.Context, now time.Time, role claim.Role, r exchange.Request, s claim.Submission, w *waiter) {
-	if role == claim.RoleHome && c.cutOff(s) {
+	if role == claim.RoleHome && c.witnessUnreachable(s) {
 		w.outcome <- claim.Outcome{Result: claim.ResultRefused, Reason: claim.ReasonPeerUnreachable}
 		return
 	}
@@ -81,31 +82,31 @@
 			return
 		}
 	}
-	waiting, ok := c.calls[s.Key]
+	pending, ok := c.pending[s.Key]
 	if !ok {
-		waiting = &call{ctx: ctx, request: r}
-		c.calls[s.Key] = waiting
+		pending = &pendingRequest{ctx: ctx, request: r}
+		c.pending[s.Key] = pending
 	}
-	waiting.waiters = append(waiting.waiters, w)
+	pending.waiters = append(pending.waiters, w)
 	c.apply(effects)
 }
 
-// cutOff reports whether a new key could not be granted, since there is no link to its witness.
-// The home then takes no part, which leaves the key to the witness.
-func (c *Claims) cutOff(s claim.Submission) bool {
+// witnessUnreachable reports whether a key is new here and cannot be granted, because there is no
+// link to its witness. The home then declines the key, so that the witness can still run it.
+func (c *Claims) witnessUnreachable(s claim.Submission) bool {
 	to := s.Ticket.Witness
 	return !to.IsZero() && !c.machine.Contains(s.Key) && !c.relay.Reachable(to)
 }
 
-// leave removes a caller whose context has ended and tells it what is known.
-func (c *Claims) leave(now time.Time, key claim.Key, w *waiter) {
-	waiting, ok := c.calls[key]
+// removeWaiter removes a caller whose context has ended and sends it the current outcome of its key.
+func (c *Claims) removeWaiter(now time.Time, key claim.Key, w *waiter) {
+	pending, ok := c.pending[key]
 	if !ok {
 		return
 	}
-	waiting.waiters = slices.DeleteFunc(waiting.waiters, func(other *waiter) bool { return other == w })
-	if len(waiting.waiters) == 0 {
-		delete(c.calls, key)
+	pending.waiters = slices.DeleteFunc(pending.waiters, func(other *waiter) bool { return other == w })
+	if len(pending.waiters) == 0 {
+		delete(c.pending, key)
 		c.apply(c.machine.Abandon(now, key))
 	}
 	if len(w.outcome) == 0 {
@@ -113,53 +114,53 @@
 	}
 }
 
-// apply carries out the machine's effects. It runs on the control goroutine.
+// apply executes the effects that the machine returned. It runs on the control goroutine.
 func (c *Claims) apply(effects []claim.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case claim.Send:
 			c.sender.Send(effect.To, wire.KindClaim, effect.Message)
 		case claim.Dispatch:
-			c.dispatch(effect)
+			c.startExecution(effect)
 		case claim.Answer:
-			c.answer(effect)
+			c.deliverAnswer(effect)
 		}
 	}
 }
 
-func (c *Claims) answer(a claim.Answer) {
-	waiting, ok := c.calls[a.Key]
+func (c *Claims) deliverAnswer(a claim.Answer) {
+	pending, ok := c.pending[a.Key]
 	if !ok {
 		return
 	}
-	delete(c.calls, a.Key)
-	for _, w := range waiting.waiters {
+	delete(c.pending, a.Key)
+	for _, w := range pending.waiters {
 		w.outcome <- a.Outcome
 	}
 }
 
-// dispatch starts the execution of a key. It goes on when its callers go away.
-func (c *Claims) dispatch(d claim.Dispatch) {
-	waiting, ok := c.calls[d.Key]
+// startExecution starts the execution of a key. The execution continues if its callers cancel.
+func (c *Claims) startExecution(d claim.Dispatch) {
+	pending, ok := c.pending[d.Key]
 	if !ok {
-		c.work.Go(func() { c.finish(d.Key, claim.Outcome{Result: claim.ResultNotRun}) })
+		c.executions.Go(func() { c.finishExecution(d.Key, claim.Outcome{Result: claim.ResultNotRun}) })
 		return
 	}
-	r := waiting.request
+	r := pending.request
 	r.Deadline = d.Deadline
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(waiting.ctx), d.Deadline)
-	c.work.Go(func() {
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(pending.ctx), d.Deadline)
+	c.executions.Go(func() {
 		defer cancel()
-		c.finish(d.Key, c.execute(ctx, r))
+		c.finishExecution(d.Key, c.execute(ctx, r))
 	})
 }
 
-// finish tells the machine what became of an execution.
-func (c *Claims) finish(key claim.Key, o claim.Outcome) {
+// finishExecution reports the outcome of an execution to the machine.
+func (c *Claims) finishExecution(key claim.Key, o claim.Outcome) {
 	c.loop.Post(func(now time.Time) { c.apply(c.machine.Finish(now, key, o)) })
 }
 
-// execute runs a request at an upstream. A panic of the executor leaves the outcome unknown.
+// execute runs a request at an upstream. If the executor panics, the outcome is unknown.
 func (c *Claims) execute(ctx context.Context, r exchange.Request) claim.Outcome {
 	var a exchange.Answer
 	if panicked := panics.Try(func() { a = c.executor.Execute(ctx, r) }); panicked != nil {
--- a/internal/claims/lookup.go
+++ b/internal/claims/lookup.go
@@ -10,34 +10,34 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// Times of an outcome look-up.
+// Durations of an outcome look-up.
 const (
-	lookupResend  = 200 * time.Millisecond
-	lookupTimeout = 2 * time.Second // Bound for both instances together.
+	lookupResendInterval = 200 * time.Millisecond
+	lookupTimeout        = 2 * time.Second // Total for both instances.
 )
 
-// Lookup is a question to another instance about a key.
+// Lookup requests the outcome of a key from another instance.
 type Lookup struct {
 	ID  uint64    `cbor:"1,keyasint"`
 	Key claim.Key `cbor:"2,keyasint"`
 }
 
-// LookupReply answers a Lookup.
+// LookupReply is the reply to a Lookup.
 type LookupReply struct {
 	ID      uint64        `cbor:"1,keyasint"`
 	Outcome claim.Outcome `cbor:"2,keyasint"`
 }
 
-// lookup is a question that waits for its reply.
-type lookup struct {
+// pendingLookup is a Lookup whose reply has not arrived.
+type pendingLookup struct {
 	to      fleet.Ref
 	key     claim.Key
-	resend  time.Time
-	outcome chan claim.Outcome // Holds one.
+	resend  time.Time          // When to send it again.
+	outcome chan claim.Outcome // Has a buffer of one.
 }
 
-// Lookup returns what became of a key, from the home's record or the witness's. It never
-// makes a key run. The codes outcome-pending and key-unknown say that there is no outcome.
+// Lookup returns the outcome of a key from the records of its home and witness. It never starts
+// an execution. The codes outcome-pending and key-unknown mean that there is no outcome.
 func (c *Claims) Lookup(ctx context.Context, text string) exchange.Answer {
 	a := c.lookup(ctx, text)
 	c.count(a.Code)
@@ -49,26 +49,26 @@
 	defer cancel()
 	key, ticket, err := c.openKey(text)
 	if err != nil {
-		return refuseKey(err)
+		return keyErrorAnswer(err)
 	}
-	first := c.ask(ctx, key, ticket.Home, lookupTimeout/2)
+	first := c.lookupAt(ctx, key, ticket.Home, lookupTimeout/2)
 	if first.Result != claim.ResultUnknown || ticket.Witness.IsZero() {
 		return lookupAnswer(first)
 	}
-	second := c.ask(ctx, key, ticket.Witness, lookupTimeout)
-	return lookupAnswer(fuller(first, second))
+	second := c.lookupAt(ctx, key, ticket.Witness, lookupTimeout)
+	return lookupAnswer(moreInformative(first, second))
 }
 
-// fuller returns the outcome that says more; the first when they say the same.
-func fuller(first, second claim.Outcome) claim.Outcome {
-	if weight(second) > weight(first) {
+// moreInformative returns the outcome with the higher rank, or first if the ranks are equal.
+func moreInformative(first, second claim.Outcome) claim.Outcome {
+	if outcomeRank(second) > outcomeRank(first) {
 		return second
 	}
 	return first
 }
 
-// weight orders outcomes by how much they say.
-func weight(o claim.Outcome) int {
+// outcomeRank orders outcomes by how conclusive they are.
+func outcomeRank(o claim.Outcome) int {
 	switch {
 	case o.Result != claim.ResultUnknown:
 		return 3
@@ -81,8 +81,8 @@
 	}
 }
 
-// ask returns what one instance knows of a key. ReasonNone says that it did not answer.
-func (c *Claims) ask(ctx context.Context, key claim.Key, to fleet.Ref, timeout time.Duration) claim.Outcome {
+// lookupAt returns the outcome of a key in one instance's record. Its reason is ReasonNone if the instance did not reply.
+func (c *Claims) lookupAt(ctx context.Context, key claim.Key, to fleet.Ref, timeout time.Duration) claim.Outcome {
 	if to != c.self && !c.relay.Reachable(to) {
 		return claim.Outcome{Result: claim.ResultUnknown}
 	}
@@ -97,7 +97,7 @@
 		}
 		c.lookupID++
 		id = c.lookupID
-		c.lookups[id] = &lookup{to: to, key: key, resend: now.Add(lookupResend), outcome: outcome}
+		c.lookups[id] = &pendingLookup{to: to, key: key, resend: now.Add(lookupResendInterval), outcome: outcome}
 		c.sender.Send(to, wire.KindOutcomeLookup, Lookup{ID: id, Key: key})
 	})
 	if !posted {
@@ -113,12 +113,12 @@
 }
 
 func (c *Claims) deliverLookup(now time.Time, from fleet.Ref, e wire.Envelope) error {
-	var question Lookup
-	if err := wire.DecodeBody(e, &question); err != nil {
+	var request Lookup
+	if err := wire.DecodeBody(e, &request); err != nil {
 		return err
 	}
-	o := c.machine.Lookup(now, question.Key)
-	c.sender.Send(from, wire.KindOutcomeReply, LookupReply{ID: question.ID, Outcome: o})
+	o := c.machine.Lookup(now, request.Key)
+	c.sender.Send(from, wire.KindOutcomeReply, LookupReply{ID: request.ID, Outcome: o})
 	return nil
 }
 
@@ -127,19 +127,19 @@
 	if err := wire.DecodeBody(e, &reply); err != nil {
 		return err
 	}
-	if waiting, ok := c.lookups[reply.ID]; ok {
+	if pending, ok := c.lookups[reply.ID]; ok {
 		delete(c.lookups, reply.ID)
-		waiting.outcome <- reply.Outcome
+		pending.outcome <- reply.Outcome
 	}
 	return nil
 }
 
 func (c *Claims) resendLookups(now time.Time) {
-	for id, waiting := range c.lookups {
-		if now.Before(waiting.resend) {
+	for id, pending := range c.lookups {
+		if now.Before(pending.resend) {
 			continue
 		}
-		waiting.resend = now.Add(lookupResend)
-		c.sender.Send(waiting.to, wire.KindOutcomeLookup, Lookup{ID: id, Key: waiting.key})
+		pending.resend = now.Add(lookupResendInterval)
+		c.sender.Send(pending.to, wire.KindOutcomeLookup, Lookup{ID: id, Key: pending.key})
 	}
 }
--- a/internal/claims/metrics.go
+++ b/internal/claims/metrics.go
@@ -6,18 +6,18 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-// unlisted counts answers whose code is not in the table of codes.
-const unlisted = "unlisted"
+// unlistedCode is the counter of answers whose code is not in result.Table.
+const unlistedCode = "unlisted"
 
-// answers counts the answers of the process to keyed requests and look-ups, by the name of their code.
-var answers = expvar.NewMap("claim_answers")
+// processAnswers counts the answers of all instances in the process to keyed requests and look-ups, by the name of their code.
+var processAnswers = expvar.NewMap("claim_answers")
 
-// count counts an answer to a caller of this instance.
+// count adds an answer to the counters of this instance and of the process.
 func (c *Claims) count(code result.Code) {
-	name := unlisted
+	name := unlistedCode
 	if entry, ok := result.Lookup(code); ok {
 		name = entry.Name
 	}
-	c.codes.Add(name, 1)
-	answers.Add(name, 1)
+	c.answersByCode.Add(name, 1)
+	processAnswers.Add(name, 1)
 }
--- a/internal/claims/route.go
+++ b/internal/claims/route.go
@@ -13,17 +13,17 @@
 	"github.com/damaskcove/damaskcove/internal/relay"
 )
 
-// Times of a keyed request.
+// Durations of a keyed request.
 const (
-	defaultDeadline = 10 * time.Second // Of a request without one.
-	homeShare       = 4                // The home has this part of the time left, as a divisor.
-	homeShareMost   = time.Second      // Bound of the home's part.
-	replyShare      = 10               // A relayed request leaves this part of the time for its reply, as a divisor.
-	replyShareMost  = control.TickInterval
+	defaultDeadline     = 10 * time.Second // For a request that has no deadline.
+	homeShareDivisor    = 4                // Share of the time left that the home has before the witness is tried too, as a divisor.
+	maxHomeShare        = time.Second
+	replyReserveDivisor = 10 // Share of the time left that is reserved for the reply to a relayed request, as a divisor.
+	maxReplyReserve     = control.TickInterval
 )
 
-// try asks one of the two instances of a ticket.
-type try func(ctx context.Context) exchange.Answer
+// attempt runs a request at one of the two instances of its ticket.
+type attempt func(ctx context.Context) exchange.Answer
 
 // Do runs a keyed request that a caller sent to this instance.
 func (c *Claims) Do(ctx context.Context, r exchange.Request) exchange.Answer {
@@ -39,18 +39,18 @@
 	if !ok {
 		return refusal
 	}
-	home := c.tryAt(claim.RoleHome, s.Ticket.Home, r, s)
+	home := c.attemptAt(claim.RoleHome, s.Ticket.Home, r, s)
 	if s.Ticket.Witness.IsZero() {
-		return conclude(home(ctx))
+		return combine(home(ctx))
 	}
-	witness := c.tryAt(claim.RoleWitness, s.Ticket.Witness, r, s)
+	witness := c.attemptAt(claim.RoleWitness, s.Ticket.Witness, r, s)
 	if c.self == s.Ticket.Home {
-		return inTurn(ctx, home, witness)
+		return sequential(ctx, home, witness)
 	}
-	return homeFirst(ctx, r.Deadline, home, witness)
+	return hedged(ctx, r.Deadline, home, witness)
 }
 
-// HandleRelayed runs a keyed request that another instance passed on, in the part that it asks for.
+// HandleRelayed implements relay.Handler for keyed requests: it runs one in the given role.
 func (c *Claims) HandleRelayed(ctx context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer {
 	ctx, r, cancel := withDeadline(ctx, r)
 	defer cancel()
@@ -58,14 +58,14 @@
 	if !ok {
 		return refusal
 	}
-	return c.local(ctx, role, r, s)
+	return c.runLocal(ctx, role, r, s)
 }
 
-// submission opens the key of a request. When ok is false, refusal is the answer.
+// submission verifies the key of a request. If ok is false, refusal is the answer to the caller.
 func (c *Claims) submission(r exchange.Request) (s claim.Submission, refusal exchange.Answer, ok bool) {
 	key, ticket, err := c.openKey(r.Key)
 	if err != nil {
-		return claim.Submission{}, refuseKey(err), false
+		return claim.Submission{}, keyErrorAnswer(err), false
 	}
 	if ticket.Account != r.Account || ticket.Service != r.Service {
 		return claim.Submission{}, exchange.AttemptRefusal(result.CodeTicketOtherAccount, ""), false
@@ -74,7 +74,7 @@
 	return s, exchange.Answer{}, true
 }
 
-// withDeadline gives a request its deadline: the earlier of its own and the context's.
+// withDeadline sets a request's deadline to the earlier of its own and the context's, or to the default if both have none.
 func withDeadline(ctx context.Context, r exchange.Request) (context.Context, exchange.Request, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	switch {
@@ -87,17 +87,17 @@
 	return ctx, r, cancel
 }
 
-// tryAt returns the try of one part: played here when it is this instance's, relayed otherwise.
-func (c *Claims) tryAt(role claim.Role, to fleet.Ref, r exchange.Request, s claim.Submission) try {
+// attemptAt returns the attempt at one instance in a role: local if it is this instance, relayed otherwise.
+func (c *Claims) attemptAt(role claim.Role, to fleet.Ref, r exchange.Request, s claim.Submission) attempt {
 	if to == c.self {
-		return func(ctx context.Context) exchange.Answer { return c.local(ctx, role, r, s) }
+		return func(ctx context.Context) exchange.Answer { return c.runLocal(ctx, role, r, s) }
 	}
 	return func(ctx context.Context) exchange.Answer {
 		r := r
 		remaining := time.Until(r.Deadline)
-		reply := min(remaining/replyShare, replyShareMost)
-		r.Deadline = r.Deadline.Add(-reply)
-		r.Remaining = remaining - reply
+		reserve := min(remaining/replyReserveDivisor, maxReplyReserve)
+		r.Deadline = r.Deadline.Add(-reserve)
+		r.Remaining = remaining - reserve
 		a, err := c.relay.Call(ctx, to, role, r)
 		switch {
 		case err == nil:
@@ -105,50 +105,51 @@
 		case errors.Is(err, relay.ErrUnreachable):
 			return exchange.Refusal(result.CodeAttemptNotRun, "")
 		default:
-			return endedAnswer(ctx)
+			return contextEndedAnswer(ctx)
 		}
 	}
 }
 
-// inTurn asks the home, and the witness when the home took no part.
-func inTurn(ctx context.Context, home, witness try) exchange.Answer {
+// sequential tries the home, and then the witness if the home declined. CodeAttemptNotRun is final,
+// because it means that the home cannot reach the witness, which may have run the key.
+func sequential(ctx context.Context, home, witness attempt) exchange.Answer {
 	first := home(ctx)
 	if !declined(first) || first.Code == result.CodeAttemptNotRun {
-		return conclude(first)
+		return combine(first)
 	}
-	return conclude(first, witness(ctx))
+	return combine(first, witness(ctx))
 }
 
-// homeFirst asks the home, and the witness too when the home took no part, has no conclusive
-// answer, or does not answer within its share of the time. The first conclusive answer counts.
-func homeFirst(ctx context.Context, deadline time.Time, home, witness try) exchange.Answer {
+// hedged tries the home, and also the witness if the home's answer is not conclusive or does not
+// arrive within its share of the time. It returns the first conclusive answer, or combines both.
+func hedged(ctx context.Context, deadline time.Time, home, witness attempt) exchange.Answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answers := make(chan exchange.Answer, 2)
-	ask := func(t try) { go func() { answers <- t(ctx) }() }
-	ask(home)
-	share := time.NewTimer(min(time.Until(deadline)/homeShare, homeShareMost))
-	defer share.Stop()
-	var got []exchange.Answer
-	asked := 1
-	for len(got) < asked {
+	start := func(t attempt) { go func() { answers <- t(ctx) }() }
+	start(home)
+	hedgeTimer := time.NewTimer(min(time.Until(deadline)/homeShareDivisor, maxHomeShare))
+	defer hedgeTimer.Stop()
+	var inconclusive []exchange.Answer
+	started := 1
+	for len(inconclusive) < started {
 		select {
 		case a := <-answers:
 			if conclusive(a) {
 				return a
 			}
-			got = append(got, a)
-		case <-share.C:
+			inconclusive = append(inconclusive, a)
+		case <-hedgeTimer.C:
 		}
-		if asked == 1 {
-			ask(witness)
-			asked++
+		if started == 1 {
+			start(witness)
+			started++
 		}
 	}
-	return conclude(got...)
+	return combine(inconclusive...)
 }
 
-// conclusive reports whether another instance could add nothing to an answer.
+// conclusive reports whether no other instance can have a better answer.
 func conclusive(a exchange.Answer) bool {
 	switch {
 	case a.Code == result.CodeAnswerNotKept:
@@ -160,7 +161,7 @@
 	}
 }
 
-// declined reports whether an answer says that its instance neither ran the attempt nor will.
+// declined reports whether an answer means that its instance did not run the attempt and never will.
 func declined(a exchange.Answer) bool {
 	switch a.Code {
 	case result.CodeAttemptNotRun, result.CodeTicketIncarnation, result.CodeClaimTableFull, result.CodeStopping:
@@ -170,14 +171,14 @@
 	}
 }
 
-// conclude returns the answer to the caller from those of the instances asked: a conclusive
-// one, else the one that says most. When all declined, none of them runs the attempt.
-func conclude(answers ...exchange.Answer) exchange.Answer {
+// combine returns the answer to the caller from those of the instances tried: the one with the
+// highest rank. If all declined, none of them runs the attempt.
+func combine(answers ...exchange.Answer) exchange.Answer {
 	best := answers[0]
 	allDeclined := true
 	for _, a := range answers {
 		allDeclined = allDeclined && declined(a)
-		if rank(a) > rank(best) {
+		if answerRank(a) > answerRank(best) {
 			best = a
 		}
 	}
@@ -187,8 +188,8 @@
 	return exchange.Refusal(result.CodeOutcomeUnknown, "")
 }
 
-// rank orders answers by how much they say of the key.
-func rank(a exchange.Answer) int {
+// answerRank orders answers by how conclusive they are about the key.
+func answerRank(a exchange.Answer) int {
 	switch {
 	case conclusive(a):
 		return 4
--- a/internal/claims/window_test.go
+++ b/internal/claims/window_test.go
@@ -13,18 +13,18 @@
 	"github.com/damaskcove/damaskcove/internal/exchange"
 )
 
-// Times of the order whose instances are killed.
+// Durations of the order during which an instance is killed.
 const (
-	windowRun  = 50 * time.Millisecond // At the upstream.
+	windowRun  = 50 * time.Millisecond // Of the execution at the upstream.
 	windowStep = time.Millisecond
 	windowEnd  = 70 * time.Millisecond
 )
 
-// killDuringOrder kills an instance a time after an order from the third has begun, and
-// returns what the caller was told, and how often the order ran.
+// killDuringOrder kills an instance some time after an order was sent to the third instance, and
+// returns the caller's answer and how often the order ran.
 func killDuringOrder(t *testing.T, victim fleet.Ref, after time.Duration) (a exchange.Answer, runs int) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
-		f.slowly(windowRun)
+		f.delayExecution(windowRun)
 		r := f.request("a")
 		time.AfterFunc(after+hopTime/2, func() { f.kill(victim) })
 		a = f.do(third, r)
@@ -36,8 +36,8 @@
 	return a, runs
 }
 
-// An order is of unknown outcome only when an instance dies that may have run it and nobody
-// else knows. The log lists the windows, by the time of the kill.
+// The outcome of an order may be unknown only if the killed instance may have run it and no other
+// instance has a record of it. The log lists the time windows of the kill by their answer.
 func TestUnknownWindow(t *testing.T) {
 	for _, victim := range []fleet.Ref{home, witness} {
 		last := ""
@@ -45,22 +45,22 @@
 		for after := time.Duration(0); after < windowEnd; after += windowStep {
 			a, runs := killDuringOrder(t, victim, after)
 			if runs > 1 || a.Execution == result.NotRun && runs > 0 || a.Execution == result.Ran && runs != 1 {
-				t.Errorf("%s killed at %s: told %s, ran %d times", victim, after, a.Execution, runs)
+				t.Errorf("%s killed at %s: answered %s, ran %d times", victim, after, a.Execution, runs)
 			}
 			if a.Execution == result.Unknown {
 				unknown++
 			}
-			if told := fmt.Sprintf("code %d, %s, ran %d times", a.Code, a.Execution, runs); told != last {
-				t.Logf("%s killed from %s on: %s", victim.ID, after, told)
-				last = told
+			if observed := fmt.Sprintf("code %d, %s, ran %d times", a.Code, a.Execution, runs); observed != last {
+				t.Logf("%s killed from %s on: %s", victim.ID, after, observed)
+				last = observed
 			}
 		}
 		t.Logf("%s: unknown for %d of %d ms", victim.ID, unknown, windowEnd/windowStep)
 	}
 }
 
-// BenchmarkDo is a keyed request from the entry's call to its answer, with a home and a
-// witness of no distance.
+// BenchmarkDo measures a keyed request at its home, from the call of Do to its answer, with no
+// latency between home and witness.
 func BenchmarkDo(b *testing.B) {
 	f := newFleet(b, 0, claim.Limits{MaxKeys: 1 << 30, MaxBytes: 1 << 40})
 	ticket := claim.Ticket{Home: home, Witness: witness, Service: "drums", Account: "kerri", Expires: time.Now().Add(time.Hour)}
