--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,8 +1,8 @@
 // Package control runs the one goroutine that owns an instance's control state.
 //
-// Duties (membership, configuration, health, claims) are slices that this goroutine
-// drives: it hands them events and the time. Other goroutines reach them only
-// through Loop.Post, and read the snapshots that they publish.
+// The state is divided into components (membership, configuration, listing, health, claims).
+// The goroutine calls them with messages, posted functions and ticks, so they need no locks.
+// Other goroutines change them only through Loop.Post and read the snapshots that they publish.
 package control
 
 import (
@@ -13,18 +13,19 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// Component is one slice of control state. All its methods run on the control goroutine.
+// Component is one part of the control state. All its methods run on the control goroutine.
 type Component interface {
-	// Kinds lists the kinds of message that the duty takes.
+	// Kinds returns the kinds of messages that the component handles.
 	Kinds() []wire.Kind
-	// Deliver hands over a message from one life of an instance. An error is counted and logged.
+	// Deliver handles a message from one incarnation of an instance. The loop passes an error to
+	// the callback given to NewLoop.
 	Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error
 	// Tick is called every TickInterval.
 	Tick(now time.Time)
 }
 
-// Sender sends messages to other instances. A message may be lost, doubled or delayed.
-// Send never blocks: a full queue drops its oldest message.
+// Sender sends messages to other instances. A message may be lost, duplicated or delayed.
+// Send never blocks: if the queue is full, its oldest message is dropped.
 type Sender interface {
 	Send(to fleet.Ref, kind wire.Kind, body any)
 }
@@ -32,38 +33,39 @@
 // TickInterval is the time between two calls of Component.Tick.
 const TickInterval = 50 * time.Millisecond
 
-// queueLength bounds the events that wait for the control goroutine.
+// queueLength bounds the queued functions; Post blocks when the queue is full.
 const queueLength = 4096
 
-// Loop is the control goroutine's queue of events.
+// Loop is the event loop of the control goroutine.
 type Loop struct {
-	events chan func(now time.Time)
-	done   chan struct{}
-	duties []Component
-	routes map[wire.Kind]Component
-	failed func(from fleet.Ref, kind wire.Kind, err error)
+	events     chan func(now time.Time)
+	done       chan struct{}
+	components []Component
+	routes     map[wire.Kind]Component
+	onError    func(from fleet.Ref, kind wire.Kind, err error)
 }
 
-// NewLoop returns a loop that is not running yet. failed is told of each message that a duty refuses.
-func NewLoop(failed func(from fleet.Ref, kind wire.Kind, err error)) *Loop {
+// NewLoop returns a loop that is not running yet. onError is called for each message that no
+// component handles or whose component returns an error.
+func NewLoop(onError func(from fleet.Ref, kind wire.Kind, err error)) *Loop {
 	return &Loop{
-		events: make(chan func(now time.Time), queueLength),
-		done:   make(chan struct{}),
-		routes: make(map[wire.Kind]Component),
-		failed: failed,
+		events:  make(chan func(now time.Time), queueLength),
+		done:    make(chan struct{}),
+		routes:  make(map[wire.Kind]Component),
+		onError: onError,
 	}
 }
 
-// Add registers a duty. It must be called before Run.
-func (l *Loop) Add(d Component) {
-	l.duties = append(l.duties, d)
-	for _, kind := range d.Kinds() {
-		l.routes[kind] = d
+// Add registers a component. It must be called before Run.
+func (l *Loop) Add(c Component) {
+	l.components = append(l.components, c)
+	for _, kind := range c.Kinds() {
+		l.routes[kind] = c
 	}
 }
 
-// Post hands f to the control goroutine. It waits while the queue is full and
-// returns false when the loop has ended, in which case f never runs.
+// Post queues f to run on the control goroutine. It blocks while the queue is full. It returns
+// false if the loop has ended, in which case f never runs.
 func (l *Loop) Post(f func(now time.Time)) bool {
 	select {
 	case <-l.done:
@@ -78,23 +80,23 @@
 	}
 }
 
-// Deliver hands a received message to the duty that takes its kind.
+// Deliver queues a received message for the component that handles its kind.
 func (l *Loop) Deliver(from fleet.Ref, e wire.Envelope) {
 	l.Post(func(now time.Time) { l.deliver(now, from, e) })
 }
 
 func (l *Loop) deliver(now time.Time, from fleet.Ref, e wire.Envelope) {
-	duty, ok := l.routes[e.Kind]
+	component, ok := l.routes[e.Kind]
 	if !ok {
-		l.failed(from, e.Kind, wire.ErrMalformed)
+		l.onError(from, e.Kind, wire.ErrMalformed)
 		return
 	}
-	if err := duty.Deliver(now, from, e); err != nil {
-		l.failed(from, e.Kind, err)
+	if err := component.Deliver(now, from, e); err != nil {
+		l.onError(from, e.Kind, err)
 	}
 }
 
-// Run drives the duties until ctx ends.
+// Run runs posted functions and calls the components' Tick until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	ticker := time.NewTicker(TickInterval)
@@ -112,7 +114,7 @@
 }
 
 func (l *Loop) tick(now time.Time) {
-	for _, d := range l.duties {
-		d.Tick(now)
+	for _, c := range l.components {
+		c.Tick(now)
 	}
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -10,9 +10,9 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-var errRefused = errors.New("refused")
+var errRejected = errors.New("rejected")
 
-// recorder is a duty that takes one kind of message and refuses the senders named "bad".
+// recorder is a component that handles one kind of message and rejects those from the sender "bad".
 type recorder struct {
 	delivered []fleet.Ref
 }
@@ -21,7 +21,7 @@
 
 func (r *recorder) Deliver(_ time.Time, from fleet.Ref, _ wire.Envelope) error {
 	if from.ID == "bad" {
-		return errRefused
+		return errRejected
 	}
 	r.delivered = append(r.delivered, from)
 	return nil
@@ -29,11 +29,11 @@
 
 func (r *recorder) Tick(time.Time) {}
 
-func TestMessagesGoToTheDutyThatTakesTheirKind(t *testing.T) {
+func TestMessagesAreRoutedByKind(t *testing.T) {
 	var failures []error
 	l := NewLoop(func(_ fleet.Ref, _ wire.Kind, err error) { failures = append(failures, err) })
-	duty := &recorder{}
-	l.Add(duty)
+	component := &recorder{}
+	l.Add(component)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -45,13 +45,13 @@
 	l.Deliver(fleet.Ref{ID: "good"}, wire.Envelope{Kind: 999})
 	l.Post(func(time.Time) { cancel() })
 	<-ended
-	if len(duty.delivered) != 1 {
-		t.Errorf("delivered %v, want one message", duty.delivered)
+	if len(component.delivered) != 1 {
+		t.Errorf("delivered %v, want one message", component.delivered)
 	}
-	if len(failures) != 2 || !errors.Is(failures[0], errRefused) || !errors.Is(failures[1], wire.ErrMalformed) {
-		t.Errorf("failures %v, want one refused by the duty and one of unknown kind", failures)
+	if len(failures) != 2 || !errors.Is(failures[0], errRejected) || !errors.Is(failures[1], wire.ErrMalformed) {
+		t.Errorf("failures %v, want one rejected by the component and one of unknown kind", failures)
 	}
-	if l.Post(func(time.Time) { t.Error("ran after the end") }) {
+	if l.Post(func(time.Time) { t.Error("function ran after the loop had ended") }) {
 		t.Error("Post reported success after the loop had ended")
 	}
 }
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -15,47 +15,49 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// maxRunning bounds the calls of other instances that run here at once.
+// maxRunning bounds the calls from other instances that are handled concurrently.
 const maxRunning = 4096
 
-// Links is what the calls need of the peer links.
+// Links are the peer links.
 type Links interface {
+	// Offer queues a message for an instance. It returns false if the message was not queued.
 	Offer(to fleet.Ref, kind wire.Kind, body any) bool
+	// Unreachable reports whether there is no working link to an instance.
 	Unreachable(to fleet.Ref) bool
 }
 
-// Calls passes requests over the peer links and runs those that others pass on.
+// Calls relays requests over the peer links and handles those that other instances relay.
 type Calls struct {
-	links   Links
-	handler Handler
-	next    atomic.Uint64
-	running atomic.Int64
-	wait    conc.WaitGroup
+	links    Links
+	handler  Handler
+	nextID   atomic.Uint64
+	running  atomic.Int64
+	handlers conc.WaitGroup
 
 	mu      sync.Mutex
-	pending map[uint64]waiting
+	pending map[uint64]pendingCall
 }
 
-// waiting is a call without its reply.
-type waiting struct {
+// pendingCall is a call whose reply has not arrived.
+type pendingCall struct {
 	to    fleet.Ref
 	reply chan exchange.Answer
 }
 
 var _ Caller = (*Calls)(nil)
 
-// NewCalls returns calls over links. handler runs what others pass on.
+// NewCalls returns Calls over links. handler runs the requests of other instances.
 func NewCalls(links Links, handler Handler) *Calls {
-	return &Calls{links: links, handler: handler, pending: make(map[uint64]waiting)}
+	return &Calls{links: links, handler: handler, pending: make(map[uint64]pendingCall)}
 }
 
-// Call sends a request to one life of an instance and waits for its answer until ctx ends.
+// Call implements Caller.
 func (c *Calls) Call(ctx context.Context, to fleet.Ref, role claim.Role, r exchange.Request) (exchange.Answer, error) {
 	if c.links.Unreachable(to) {
 		return exchange.Answer{}, fmt.Errorf("%w: %s", ErrUnreachable, to)
 	}
-	id := c.next.Add(1)
-	w := waiting{to: to, reply: make(chan exchange.Answer, 1)}
+	id := c.nextID.Add(1)
+	w := pendingCall{to: to, reply: make(chan exchange.Answer, 1)}
 	c.add(id, w)
 	defer c.remove(id)
 	r.Remaining = time.Until(r.Deadline)
@@ -70,12 +72,12 @@
 	}
 }
 
-// Reachable reports whether a way to the instance is believed to work.
+// Reachable implements Caller.
 func (c *Calls) Reachable(to fleet.Ref) bool {
 	return !c.links.Unreachable(to)
 }
 
-func (c *Calls) add(id uint64, w waiting) {
+func (c *Calls) add(id uint64, w pendingCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending[id] = w
@@ -87,12 +89,12 @@
 	delete(c.pending, id)
 }
 
-// Handles reports whether a kind of message is for Deliver.
+// Handles reports whether messages of a kind must be passed to Deliver.
 func Handles(kind wire.Kind) bool {
 	return kind == wire.KindRelayRequest || kind == wire.KindRelayAnswer
 }
 
-// Deliver takes a message of another instance. It does not block.
+// Deliver handles a message from another instance. It does not block: a call runs on its own goroutine.
 func (c *Calls) Deliver(ctx context.Context, from fleet.Ref, e wire.Envelope) error {
 	if e.Kind == wire.KindRelayAnswer {
 		return c.deliverReply(from, e)
@@ -100,8 +102,8 @@
 	return c.deliverCall(ctx, from, e)
 }
 
-// deliverReply hands a reply to the call that waits for it. One that is late, doubled
-// or from another instance than the one asked is dropped.
+// deliverReply passes a reply to the pending call. A reply that is late, a duplicate, or from
+// another instance than the one called is dropped.
 func (c *Calls) deliverReply(from fleet.Ref, e wire.Envelope) error {
 	var reply Reply
 	if err := wire.DecodeBody(e, &reply); err != nil {
@@ -125,9 +127,9 @@
 	}
 	if c.running.Add(1) > maxRunning {
 		c.running.Add(-1)
-		return fmt.Errorf("call %d of instance %s dropped: %d calls run, bound %d", call.ID, from, maxRunning, maxRunning)
+		return fmt.Errorf("call %d from instance %s dropped: %d calls are running, the limit is %d", call.ID, from, maxRunning, maxRunning)
 	}
-	c.wait.Go(func() {
+	c.handlers.Go(func() {
 		defer c.running.Add(-1)
 		c.run(ctx, from, call)
 	})
@@ -142,12 +144,12 @@
 	c.links.Offer(from, wire.KindRelayAnswer, Reply{ID: call.ID, Answer: answer})
 }
 
-// Running returns how many calls of other instances run here.
+// Running returns the number of calls from other instances that are being handled.
 func (c *Calls) Running() int {
 	return int(c.running.Load())
 }
 
-// Wait returns when no call of another instance runs here.
+// Wait blocks until no call from another instance is being handled.
 func (c *Calls) Wait() {
-	c.wait.Wait()
+	c.handlers.Wait()
 }
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -18,7 +18,7 @@
 	other  = fleet.Ref{ID: "other", Incarnation: 1}
 )
 
-// fakeLinks hands each message to a function, as an envelope that has been encoded.
+// fakeLinks encodes and decodes each message and passes the envelope to deliver.
 type fakeLinks struct {
 	t           *testing.T
 	unreachable bool
@@ -46,7 +46,7 @@
 	return true
 }
 
-// echoHandler answers with the role and the body that it was asked with.
+// echoHandler answers with the role as status and the caller's ID and the request's body as body.
 type echoHandler struct{}
 
 func (echoHandler) HandleRelayed(_ context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer {
@@ -59,30 +59,30 @@
 	}
 }
 
-func soon() (exchange.Request, context.Context, context.CancelFunc) {
+func newRequest() (exchange.Request, context.Context, context.CancelFunc) {
 	r := exchange.Request{Body: []byte("order"), Deadline: time.Now().Add(time.Minute)}
 	ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
 	return r, ctx, cancel
 }
 
-func TestCallReturnsTheAnswerOfTheInstanceAsked(t *testing.T) {
-	here, there := &fakeLinks{t: t}, &fakeLinks{t: t}
-	asking, answering := NewCalls(here, echoHandler{}), NewCalls(there, echoHandler{})
-	here.deliver = func(_ fleet.Ref, e wire.Envelope) { deliver(t, answering, caller, e) }
-	there.deliver = func(_ fleet.Ref, e wire.Envelope) { deliver(t, asking, callee, e) }
-	r, ctx, cancel := soon()
+func TestCallReturnsTheCalleesAnswer(t *testing.T) {
+	callerLinks, calleeLinks := &fakeLinks{t: t}, &fakeLinks{t: t}
+	client, server := NewCalls(callerLinks, echoHandler{}), NewCalls(calleeLinks, echoHandler{})
+	callerLinks.deliver = func(_ fleet.Ref, e wire.Envelope) { deliver(t, server, caller, e) }
+	calleeLinks.deliver = func(_ fleet.Ref, e wire.Envelope) { deliver(t, client, callee, e) }
+	r, ctx, cancel := newRequest()
 	defer cancel()
-	a, err := asking.Call(ctx, callee, claim.RoleWitness, r)
+	a, err := client.Call(ctx, callee, claim.RoleWitness, r)
 	if err != nil || string(a.Body) != "caller:order" || a.Status != int(claim.RoleWitness) {
 		t.Errorf("answer %d %q: %v", a.Status, a.Body, err)
 	}
-	answering.Wait()
-	if answering.Running() != 0 {
-		t.Errorf("%d calls run after the last was answered", answering.Running())
+	server.Wait()
+	if server.Running() != 0 {
+		t.Errorf("%d calls still running after Wait", server.Running())
 	}
 }
 
-func TestReplyOfAnotherInstanceIsNotTaken(t *testing.T) {
+func TestReplyFromAnotherInstanceIsDropped(t *testing.T) {
 	links := &fakeLinks{t: t}
 	c := NewCalls(links, echoHandler{})
 	links.deliver = func(_ fleet.Ref, e wire.Envelope) {
@@ -102,7 +102,7 @@
 			deliver(t, c, from, reply)
 		}
 	}
-	r, ctx, cancel := soon()
+	r, ctx, cancel := newRequest()
 	defer cancel()
 	a, err := c.Call(ctx, callee, claim.RoleHome, r)
 	if err != nil || string(a.Body) != callee.String() {
@@ -110,8 +110,8 @@
 	}
 }
 
-func TestErrorsTellWhetherTheRequestLeft(t *testing.T) {
-	r, ctx, cancel := soon()
+func TestErrorsDistinguishWhetherTheRequestWasSent(t *testing.T) {
+	r, ctx, cancel := newRequest()
 	defer cancel()
 	for _, links := range []*fakeLinks{{t: t, unreachable: true}, {t: t, full: true}} {
 		if _, err := NewCalls(links, echoHandler{}).Call(ctx, callee, claim.RoleHome, r); !errors.Is(err, ErrUnreachable) {
@@ -119,9 +119,9 @@
 		}
 	}
 	lost := &fakeLinks{t: t, deliver: func(fleet.Ref, wire.Envelope) {}}
-	gone, giveUp := context.WithCancel(ctx)
-	giveUp()
-	if _, err := NewCalls(lost, echoHandler{}).Call(gone, callee, claim.RoleHome, r); !errors.Is(err, ErrNoReply) {
+	canceled, cancelNow := context.WithCancel(ctx)
+	cancelNow()
+	if _, err := NewCalls(lost, echoHandler{}).Call(canceled, callee, claim.RoleHome, r); !errors.Is(err, ErrNoReply) {
 		t.Errorf("lost: got %v, want %v", err, ErrNoReply)
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,4 +1,4 @@
-// Package relay passes a caller's request from one instance to another over the peer links.
+// Package relay forwards a caller's request from one instance to another over the peer links.
 package relay
 
 import (
@@ -12,34 +12,35 @@
 
 // Errors of Caller.Call.
 var (
-	// ErrUnreachable says that there is no link to the instance; the request did not leave.
+	// ErrUnreachable means that there is no working link to the instance and the request was not sent.
 	ErrUnreachable = errors.New("instance unreachable")
-	// ErrNoReply says that the request left and no reply came in time.
+	// ErrNoReply means that the request was sent and no reply arrived in time.
 	ErrNoReply = errors.New("no reply from instance")
 )
 
-// Call is a request passed to another instance.
+// Call is the message that relays a request.
 type Call struct {
-	ID      uint64           `cbor:"1,keyasint"` // Unique among the calls of the sending life.
-	Role    claim.Role       `cbor:"2,keyasint"` // Part that the receiver shall play for a keyed request.
+	ID      uint64           `cbor:"1,keyasint"` // Unique among the calls of the sender's incarnation.
+	Role    claim.Role       `cbor:"2,keyasint"` // Role of the receiver for a keyed request.
 	Request exchange.Request `cbor:"3,keyasint"`
 }
 
-// Reply is the answer to a Call.
+// Reply is the message that answers a Call.
 type Reply struct {
 	ID     uint64          `cbor:"1,keyasint"`
 	Answer exchange.Answer `cbor:"2,keyasint"`
 }
 
-// Caller passes requests to other instances.
+// Caller relays requests to other instances.
 type Caller interface {
-	// Call sends a request to one life of an instance and waits for its answer until ctx ends.
+	// Call sends a request to one incarnation of an instance and waits for its answer until ctx
+	// ends. It returns ErrUnreachable or ErrNoReply.
 	Call(ctx context.Context, to fleet.Ref, role claim.Role, r exchange.Request) (exchange.Answer, error)
 	// Reachable reports whether a link to the instance is up, without sending.
 	Reachable(to fleet.Ref) bool
 }
 
-// Handler runs a request that another instance passed on. It must return an answer before ctx ends.
+// Handler runs a request that another instance relayed. It must return an answer before ctx ends.
 type Handler interface {
 	HandleRelayed(ctx context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,8 +1,8 @@
-// Package wire numbers the messages that instances send each other and encodes them as CBOR.
+// Package wire defines the kinds of messages between instances and encodes them as CBOR.
 //
-// A message travels as one Envelope in one binary WebSocket message. Versions: a
-// receiver takes envelopes of its own version and of the one before, ignores fields
-// that it does not know, and counts and drops kinds that it does not know.
+// Each message is sent as one Envelope in one binary WebSocket message. A receiver accepts
+// envelopes of versions OldestVersion to Version+1. It ignores unknown fields, and drops and
+// counts messages of an unknown kind.
 package wire
 
 import (
@@ -12,39 +12,39 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is the version of the messages that this release sends.
+// Version is the message version that this release sends.
 const Version uint16 = 1
 
-// OldestVersion is the oldest version that this release takes.
+// OldestVersion is the oldest message version that this release accepts.
 const OldestVersion uint16 = 1
 
-// MaxEnvelopeBytes bounds one encoded envelope.
+// MaxEnvelopeBytes bounds the size of one encoded envelope.
 const MaxEnvelopeBytes = 2 << 20
 
-// Kind numbers the types of message.
+// Kind is the number of a message type.
 type Kind uint16
 
-// Kinds of message, by the duty that owns them.
+// Kinds of messages, grouped by the component that handles them.
 const (
-	KindHello         Kind = 1  // Hello, first on each link.
-	KindForward       Kind = 2  // Forward, a message passed on by a third instance.
+	KindHello         Kind = 1  // peer.Hello, the first message on each link.
+	KindForward       Kind = 2  // peer.Forward, a message forwarded by a third instance.
 	KindMembership    Kind = 10 // membership.Message
 	KindRollout       Kind = 20 // rollout.Message
-	KindListing       Kind = 21 // The platform's list, passed on by the instances that read it.
-	KindEvidence      Kind = 30 // ServiceEvidence of the health duty.
-	KindDecision      Kind = 31 // ServiceVerdict of the health duty.
+	KindListing       Kind = 21 // listing.Message: the platform's list, from the instances that read it.
+	KindEvidence      Kind = 30 // endpoints.ServiceEvidence
+	KindDecision      Kind = 31 // endpoints.ServiceDecision
 	KindClaim         Kind = 40 // claim.Message
-	KindRelayRequest  Kind = 50 // A caller's request, passed on to another instance.
-	KindRelayAnswer   Kind = 51 // Its answer.
-	KindOutcomeLookup Kind = 52 // A caller asks what came of its key.
-	KindOutcomeReply  Kind = 53 // The answer to it.
+	KindRelayRequest  Kind = 50 // relay.Call: a caller's request, relayed to another instance.
+	KindRelayAnswer   Kind = 51 // relay.Reply: the answer to it.
+	KindOutcomeLookup Kind = 52 // claims.Lookup: a request for the outcome of a key.
+	KindOutcomeReply  Kind = 53 // claims.LookupReply: the reply to it.
 )
 
 // Errors of Decode.
 var (
-	// ErrVersion says that the envelope's version is outside OldestVersion and Version.
+	// ErrVersion means that the envelope's version is below OldestVersion or above Version+1.
 	ErrVersion = errors.New("message version not supported")
-	// ErrMalformed says that the bytes do not decode.
+	// ErrMalformed means that the bytes cannot be decoded.
 	ErrMalformed = errors.New("message malformed")
 )
 
@@ -75,14 +75,15 @@
 		return Envelope{}, fmt.Errorf("%w: envelope of %d bytes: %w", ErrMalformed, len(data), err)
 	}
 	if len(e.Body) == 0 {
-		return Envelope{}, fmt.Errorf("%w: no body of kind %d", ErrMalformed, e.Kind)
+		return Envelope{}, fmt.Errorf("%w: no body in message of kind %d", ErrMalformed, e.Kind)
 	}
-	// The encoder checks more of a body than the decoder does of bytes that it passes by.
+	// The decoder does not fully check a raw body, which it skips; the encoder does. Without this
+	// check an accepted envelope might not encode again.
 	if _, err := cbor.Marshal(e.Body); err != nil {
 		return Envelope{}, fmt.Errorf("%w: body of kind %d with %d bytes: %w", ErrMalformed, e.Kind, len(e.Body), err)
 	}
 	if e.Version < OldestVersion || e.Version > Version+1 {
-		return Envelope{}, fmt.Errorf("%w: got %d, takes %d to %d", ErrVersion, e.Version, OldestVersion, Version+1)
+		return Envelope{}, fmt.Errorf("%w: got %d, supported are %d to %d", ErrVersion, e.Version, OldestVersion, Version+1)
 	}
 	return e, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func TestDecodeTellsVersionsApart(t *testing.T) {
+func TestDecodeChecksTheVersion(t *testing.T) {
 	cases := []struct {
 		version uint16
 		want    error
@@ -28,7 +28,7 @@
 	}
 }
 
-// FuzzDecode checks that no bytes of a peer stop the receiver, and that what decodes encodes again.
+// FuzzDecode checks that no bytes from a peer make Decode panic, and that each decoded envelope can be encoded again.
 func FuzzDecode(f *testing.F) {
 	seed, err := Encode(KindClaim, struct{ A string }{"x"})
 	if err != nil {
@@ -45,7 +45,7 @@
 			return
 		}
 		if _, err := Encode(e.Kind, e.Body); err != nil {
-			t.Fatalf("envelope %v decoded and does not encode: %v", e, err)
+			t.Fatalf("decoded envelope %v cannot be encoded: %v", e, err)
 		}
 	})
 }
