--- a/internal/claims/key.go
+++ b/internal/claims/key.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// fingerprint returns a digest of a request's service, account, method, URI and body, by which a reuse of its key for another request is detected.
+// fingerprint returns a digest of a request's service, account, method, URI and body, by
+// which a reuse of its key for another request is detected.
 func fingerprint(r exchange.Request) claim.Fingerprint {
 	h := sha256.New()
 	var length [8]byte
--- a/internal/claims/lookup.go
+++ b/internal/claims/lookup.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// lookupAt returns the outcome of a key in one instance's record. Its reason is ReasonNone if the instance did not reply.
+// lookupAt returns the outcome of a key in one instance's record. Its reason is ReasonNone if
+// the instance did not reply.
 func (c *Claims) lookupAt(ctx context.Context, key claim.Key, to fleet.Ref, timeout time.Duration) claim.Outcome {
 	if to != c.self && !c.relay.Reachable(to) {
 		return claim.Outcome{Result: claim.ResultUnknown}
--- a/internal/claims/metrics.go
+++ b/internal/claims/metrics.go
@@ -9,7 +9,8 @@
 // unlistedCode is the counter of answers whose code is not in result.Table.
 const unlistedCode = "unlisted"
 
-// processAnswers counts the answers of all instances in the process to keyed requests and look-ups, by the name of their code.
+// processAnswers counts the answers of all instances in the process to keyed requests and
+// look-ups, by the name of their code.
 var processAnswers = expvar.NewMap("claim_answers")
 
 // count adds an answer to the counters of this instance and of the process.
--- a/internal/claims/route.go
+++ b/internal/claims/route.go
@@ -74,7 +74,8 @@
 	return s, exchange.Answer{}, true
 }
 
-// withDeadline sets a request's deadline to the earlier of its own and the context's, or to the default if both have none.
+// withDeadline sets a request's deadline to the earlier of its own and the context's, or to
+// the default if both have none.
 func withDeadline(ctx context.Context, r exchange.Request) (context.Context, exchange.Request, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	switch {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,8 +1,8 @@
 // Package control runs the one goroutine that owns an instance's control state.
 //
 // The state is divided into components (membership, configuration, listing, health, claims).
-// The goroutine calls them with messages, posted functions and ticks, so they need no locks.
-// Other goroutines change them only through Loop.Post and read the snapshots that they publish.
+// The goroutine calls them with messages, posted functions and ticks. Other goroutines reach
+// them only through Loop.Post, and read the snapshots that they publish.
 package control
 
 import (
--- a/internal/endpoints/manager.go
+++ b/internal/endpoints/manager.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// NewManager returns a Manager that has no endpoints until the configuration, the fleet and the listing are set.
+// NewManager returns a Manager that has no endpoints until the configuration, the fleet and
+// the listing are set.
 func NewManager(o Options) *Manager {
 	o.setDefaults()
 	m := &Manager{options: o, services: make(map[fleet.Service]*service)}
@@ -107,7 +108,8 @@
 	m.configure(now)
 }
 
-// MarkLeaving records that an endpoint announced in a response that it is leaving. It gets no new requests from now on.
+// MarkLeaving records that an endpoint announced in a response that it is leaving. It gets no
+// new requests from now on.
 func (m *Manager) MarkLeaving(now time.Time, s fleet.Service, e fleet.Endpoint) {
 	if state := m.services[s]; state != nil {
 		state.leaving[e] = now
@@ -116,7 +118,8 @@
 	}
 }
 
-// Observe buffers the result of one attempt. Any goroutine may call it; it never waits for the control goroutine.
+// Observe buffers the result of one attempt. Any goroutine may call it; it never waits for
+// the control goroutine.
 func (m *Manager) Observe(s fleet.Service, a health.Attempt) {
 	m.attempts.add(s, a)
 }
@@ -154,7 +157,8 @@
 	return []wire.Kind{wire.KindEvidence, wire.KindDecision}
 }
 
-// Deliver implements control.Component. It handles evidence for this instance's evaluators and decisions for its carriers.
+// Deliver implements control.Component. It handles evidence for this instance's evaluators
+// and decisions for its carriers.
 func (m *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	switch e.Kind {
 	case wire.KindEvidence:
--- a/internal/endpoints/manager_test.go
+++ b/internal/endpoints/manager_test.go
@@ -48,7 +48,7 @@
 type testNode struct {
 	network *network
 	self    fleet.Instance
-	duty    *Manager
+	manager *Manager
 	targets []routing.Target
 	cut     bool
 }
@@ -66,7 +66,7 @@
 	if err != nil {
 		n.network.t.Fatal(err)
 	}
-	if err := peer.duty.Deliver(n.network.now, n.self.Ref, e); err != nil {
+	if err := peer.manager.Deliver(n.network.now, n.self.Ref, e); err != nil {
 		n.network.t.Fatal(err)
 	}
 }
@@ -90,7 +90,7 @@
 	}}
 	n.listing, n.config, n.all = listing, config, all
 	for _, self := range all {
-		n.add(self).duty.SetFleet(n.now, 1, all, self)
+		n.add(self).manager.SetFleet(n.now, 1, all, self)
 	}
 	return n
 }
@@ -98,15 +98,15 @@
 // add starts one incarnation of an instance, with the listing and the configuration set.
 func (n *network) add(self fleet.Instance) *testNode {
 	node := &testNode{network: n, self: self}
-	node.duty = NewManager(Options{
+	node.manager = NewManager(Options{
 		Sender: node,
 		Log:    slog.New(slog.NewJSONHandler(io.Discard, nil)),
 		Publish: func(_ fleet.Service, targets []routing.Target, _ rollout.ServiceTemplate) {
 			node.targets = targets
 		},
 	})
-	node.duty.SetListing(n.now, n.listing)
-	node.duty.SetConfig(n.now, n.config)
+	node.manager.SetListing(n.now, n.listing)
+	node.manager.SetConfig(n.now, n.config)
 	n.nodes[self.Ref] = node
 	return node
 }
@@ -126,7 +126,7 @@
 			roster[i] = next[i].self
 		}
 		for _, node := range next {
-			node.duty.SetFleet(n.now, uint64(i+3), fixedPlacement(slices.Clone(roster)), node.self)
+			node.manager.SetFleet(n.now, uint64(i+3), fixedPlacement(slices.Clone(roster)), node.self)
 		}
 	}
 	n.all = roster
@@ -140,7 +140,7 @@
 			if step%2 == 0 {
 				node.request(failing)
 			}
-			node.duty.Tick(n.now)
+			node.manager.Tick(n.now)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	for _, target := range node.targets {
 		e := target.Upstream.Endpoint
 		if target.State == routing.StateAvailable || target.State == routing.StateTrial {
-			node.duty.Observe(catalogue, health.Attempt{
+			node.manager.Observe(catalogue, health.Attempt{
 				Endpoint: e,
 				Failed:   e == failing,
 				Latency:  40 * time.Millisecond,
@@ -185,7 +185,7 @@
 	if available, of := n.countInState("10.0.0.2:80", routing.StateAvailable); available != of || of == 0 {
 		t.Fatalf("healthy endpoint is available at %d of %d instances", available, of)
 	}
-	status := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}].duty.Status()
+	status := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}].manager.Status()
 	if len(status.Services) != 1 || !status.Services[0].Evaluating || status.Services[0].BudgetSlots != 12 {
 		t.Fatalf("status %+v, want the evaluator of one service with a budget of 12 slots", status.Services)
 	}
@@ -209,7 +209,7 @@
 	n := newNetwork(t, 1, 3)
 	n.run(time.Second, "")
 	node := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}]
-	node.duty.MarkLeaving(n.now, catalogue, "10.0.0.1:80")
+	node.manager.MarkLeaving(n.now, catalogue, "10.0.0.1:80")
 	if count, of := n.countInState("10.0.0.1:80", routing.StateLeaving); count != 1 || of != 1 {
 		t.Fatalf("endpoint is marked leaving at %d of %d instances", count, of)
 	}
--- a/internal/endpoints/outbox.go
+++ b/internal/endpoints/outbox.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// deliverEvidence passes evidence to the evaluators. An error on one service does not stop the others; all are joined.
+// deliverEvidence passes evidence to the evaluators. An error on one service does not stop
+// the others; all are joined.
 func (m *Manager) deliverEvidence(now time.Time, from fleet.Ref, body ServiceEvidence) error {
 	var replies outbox
 	var errs []error
--- a/internal/endpoints/service.go
+++ b/internal/endpoints/service.go
@@ -25,7 +25,7 @@
 	carriers          []fleet.Instance
 	former            []formerSet
 	carrying          bool
-	carrier           *health.Carrier
+	carrier           *health.Carrier   // Nil unless this instance is in the current or a former set of carriers.
 	evaluator         *health.Evaluator // Nil unless evaluating.
 	evaluating        bool
 	evaluatorInstance fleet.Instance
@@ -39,7 +39,8 @@
 	return &service{name: name, leaving: make(map[fleet.Endpoint]time.Time)}
 }
 
-// leavingTTL is how long an endpoint's own announcement that it is leaving overrides the platform's list, which lags.
+// leavingTTL is how long an endpoint's own announcement that it is leaving overrides the
+// platform's list, which lags.
 const leavingTTL = time.Minute
 
 // upstreams returns the listed endpoints of a service, without duplicates and endpoints that have no slots.
@@ -82,7 +83,8 @@
 	}
 }
 
-// updatePlacement looks up a service's carriers and evaluator if the fleet has changed. It returns the evaluator.
+// updatePlacement looks up a service's carriers and evaluator if the fleet has changed. It
+// returns the evaluator.
 func (m *Manager) updatePlacement(now time.Time, s *service) fleet.Instance {
 	if s.fleetVersion != m.fleetVersion {
 		s.fleetVersion = m.fleetVersion
@@ -95,7 +97,8 @@
 	return s.evaluatorInstance
 }
 
-// updateEvaluator creates or drops this instance's evaluator of a service. The decisions of a dropped evaluator expire on their own.
+// updateEvaluator creates or drops this instance's evaluator of a service. The decisions of a
+// dropped evaluator expire on their own.
 func (m *Manager) updateEvaluator(s *service, evaluator fleet.Ref) {
 	s.evaluating = evaluator == m.self.Ref
 	switch {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -245,7 +245,8 @@
 	return s
 }
 
-// mapOf returns the placement map of instances. It reuses the last map, with its caches, if the instances are the same.
+// mapOf returns the placement map of instances. It reuses the last map, with its caches, if
+// the instances are the same.
 func (m *Manager) mapOf(instances []fleet.Instance) *placement.Map {
 	if last := m.snapshot.Load(); last != nil && slices.Equal(last.Map.Instances(), instances) {
 		return last.Map
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -30,7 +30,7 @@
 	KindForward       Kind = 2  // peer.Forward, a message forwarded by a third instance.
 	KindMembership    Kind = 10 // membership.Message
 	KindRollout       Kind = 20 // rollout.Message
-	KindListing       Kind = 21 // listing.Message: the platform's list, from the instances that read it.
+	KindListing       Kind = 21 // listing.Message: the platform's list, forwarded by the instances that read it.
 	KindEvidence      Kind = 30 // endpoints.ServiceEvidence
 	KindDecision      Kind = 31 // endpoints.ServiceDecision
 	KindClaim         Kind = 40 // claim.Message
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// FuzzDecode checks that no bytes from a peer make Decode panic, and that each decoded envelope can be encoded again.
+// FuzzDecode checks that no bytes from a peer make Decode panic, and that each decoded
+// envelope can be encoded again.
 func FuzzDecode(f *testing.F) {
 	seed, err := Encode(KindClaim, struct{ A string }{"x"})
 	if err != nil {
