--- a/cmd/damaskcove/main.go
+++ b/cmd/damaskcove/main.go
@@ -123,7 +123,7 @@
 	store := client.New(s.Platform.Address, string(s.Instance.ID))
 	defer store.Close()
 	options := node.Options{Settings: s, Store: store, List: store, Log: log, Tracer: tracer, Seed: uint64(time.Now().UnixNano())}
-	return explain(node.RunLives(ctx, options, func(*node.Node) {}))
+	return explain(node.RunIncarnations(ctx, options, func(*node.Node) {}))
 }
 
 // explain adds the result code that operators look up.
--- a/internal/dispatch/lane.go
+++ b/internal/dispatch/lane.go
@@ -31,7 +31,7 @@
 }
 
 func newLane(endpoint fleet.Endpoint, s Settings) *lane {
-	l := &lane{dialer: net.Dialer{Timeout: s.DialTimeout, LocalAddr: localAddr(s.Outgoing)}}
+	l := &lane{dialer: net.Dialer{Timeout: s.DialTimeout, LocalAddr: localAddr(s.SourceIP)}}
 	l.client = &fasthttp.HostClient{
 		Addr:                          string(endpoint),
 		Dial:                          l.dial,
--- a/internal/dispatch/outgoing_test.go
+++ b/internal/dispatch/outgoing_test.go
@@ -15,7 +15,7 @@
 	}
 	defer func() { _ = listener.Close() }()
 	for outgoing, want := range map[string]string{"": "127.0.0.1", "127.0.0.9": "127.0.0.9"} {
-		l := newLane(fleet.Endpoint(listener.Addr().String()), Settings{Outgoing: outgoing}.withDefaults())
+		l := newLane(fleet.Endpoint(listener.Addr().String()), Settings{SourceIP: outgoing}.withDefaults())
 		l.ctx = context.Background()
 		conn, err := l.dial(listener.Addr().String())
 		if err != nil {
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -20,7 +20,7 @@
 type Settings struct {
 	MaxAnswerBytes int           // Bound of an answer's body.
 	DialTimeout    time.Duration // Bound on opening a connection.
-	Outgoing       string        // IP number that connections come from; empty for the system's choice.
+	SourceIP       string        // IP number that connections come from; empty for the system's choice.
 	IdleTimeout    time.Duration // Time after which an idle connection is closed.
 	Deadline       time.Duration // Given to requests that come without a deadline.
 	LeavingHold    time.Duration // Time for which an endpoint that said it is leaving gets no work, whatever the targets say.
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -52,7 +52,7 @@
 	ReadTimeout    time.Duration // Of one request from its first byte; 0 for none.
 	Tracer         trace.Tracer
 	Log            *slog.Logger
-	Wrap           func(net.Listener) net.Listener // Faults of callers' connections for tests; nil for none.
+	WrapListener   func(net.Listener) net.Listener // Faults of callers' connections for tests; nil for none.
 }
 
 // Server answers callers.
@@ -74,8 +74,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for callers on %q: %w", cfg.Listen, err)
 	}
-	if cfg.Wrap != nil {
-		listener = cfg.Wrap(listener)
+	if cfg.WrapListener != nil {
+		listener = cfg.WrapListener(listener)
 	}
 	if cfg.MaxHeaderBytes == 0 {
 		cfg.MaxHeaderBytes = headerBytes
@@ -131,8 +131,8 @@
 	return s.served.Load()
 }
 
-// Quiet returns the time since the last request, or zero while one is in flight.
-func (s *Server) Quiet() time.Duration {
+// IdleTime returns the time since the last request, or zero while one is in flight.
+func (s *Server) IdleTime() time.Duration {
 	if s.inFlight.Load() > 0 {
 		return 0
 	}
--- a/internal/listing/doc.go
+++ b/internal/listing/doc.go
@@ -2,7 +2,7 @@
 //
 // Few instances, the watchers, read the list about once a second. They push what changed
 // to the members that Options.Peers names, and between changes a short message that says which version is
-// current. A member reads the list itself only after it has heard nothing for SilenceLimit. So
+// current. A member reads the list itself only after it has heard nothing for WatcherTimeout. So
 // calls of the platform grow with the zones, and not with the fleet.
 //
 // Guarantees: the snapshot's version never goes down; a change is applied only to the very version that
--- a/internal/listing/duty.go
+++ b/internal/listing/duty.go
@@ -18,9 +18,9 @@
 	ReadInterval    = time.Second     // Between two reads of a watcher, plus or minus ReadJitter.
 	ReadJitter      = 0.2             // Share of ReadInterval.
 	CurrentInterval = 2 * time.Second // Between two messages of a watcher while nothing changes.
-	SilenceLimit    = 6 * time.Second // After which a member reads the list itself; up to half more by chance.
+	WatcherTimeout  = 6 * time.Second // After which a member reads the list itself; up to half more by chance.
 	ReadTimeout     = 2 * time.Second // Of one read.
-	AskInterval     = time.Second     // Between two questions for the whole list.
+	RequestInterval = time.Second     // Between two questions for the whole list.
 )
 
 // Options are the parameters of a Duty.
@@ -141,7 +141,7 @@
 }
 
 func (d *Duty) silence() time.Duration {
-	return time.Duration(float64(SilenceLimit) * (1 + d.o.Random.Float64()/2))
+	return time.Duration(float64(WatcherTimeout) * (1 + d.o.Random.Float64()/2))
 }
 
 // read reads the list aside, one read at a time.
@@ -219,7 +219,7 @@
 	if err := wire.DecodeBody(e, &m); err != nil {
 		return err
 	}
-	if m.Kind == MessageAsk {
+	if m.Kind == MessageRequest {
 		d.answer(from, m)
 		return nil
 	}
@@ -229,7 +229,7 @@
 		d.compare(now, from, m)
 	case MessageChange:
 		d.change(now, from, m)
-	case MessageWhole:
+	case MessageFull:
 		d.replace(now, m)
 	default:
 		return fmt.Errorf("%w: listing message of kind %d from %v", wire.ErrMalformed, m.Kind, from)
@@ -250,8 +250,8 @@
 	if m.Version <= held || now.Before(d.nextAsk) {
 		return
 	}
-	d.nextAsk = now.Add(AskInterval)
-	d.send(from, Message{Kind: MessageAsk, Version: held})
+	d.nextAsk = now.Add(RequestInterval)
+	d.send(from, Message{Kind: MessageRequest, Version: held})
 }
 
 // change applies a change that was made from the list held.
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -97,7 +97,7 @@
 		})
 		w.lost = func(packet) bool { return false }
 		w.down, w.lag = false, 0
-		w.pass(2 * SilenceLimit)
+		w.pass(2 * WatcherTimeout)
 		check()
 		for i, d := range w.duties {
 			if got := d.Snapshot(); got == nil || got.Version != w.latest.Version {
@@ -142,7 +142,7 @@
 	w.pass(time.Second)
 	w.watchers[0] = false
 	w.publish(func(l *metastore.Listing) { l.Upstreams["a"] = []fleet.Upstream{endpoint(1, 4, fleet.UpstreamReady)} })
-	w.pass(2 * SilenceLimit)
+	w.pass(2 * WatcherTimeout)
 	for i, d := range w.duties {
 		if d.Snapshot().Version != 1 {
 			t.Errorf("instance %d is at version %d", i, d.Snapshot().Version)
--- a/internal/listing/message.go
+++ b/internal/listing/message.go
@@ -16,8 +16,8 @@
 const (
 	MessageCurrent MessageKind = iota + 1 // Version is current; nothing changed.
 	MessageChange                         // What changed from Base to Version.
-	MessageWhole                          // The whole list at Version.
-	MessageAsk                            // The sender holds Version and wants the whole list, if there is a later one.
+	MessageFull                           // The whole list at Version.
+	MessageRequest                        // The sender holds Version and wants the whole list, if there is a later one.
 )
 
 // Message is one message about the list.
@@ -33,7 +33,7 @@
 
 // whole returns the message that carries a whole list.
 func whole(l *metastore.Listing) Message {
-	return Message{Kind: MessageWhole, Version: l.Version, Upstreams: l.Upstreams, Instances: l.Instances}
+	return Message{Kind: MessageFull, Version: l.Version, Upstreams: l.Upstreams, Instances: l.Instances}
 }
 
 // change returns the message that leads from one list to a later one.
@@ -78,7 +78,7 @@
 	return changed, removed
 }
 
-// list returns the list of a MessageWhole.
+// list returns the list of a MessageFull.
 func (m Message) list() *metastore.Listing {
 	upstreams := m.Upstreams
 	if upstreams == nil {
--- a/internal/local/fleet.go
+++ b/internal/local/fleet.go
@@ -158,7 +158,7 @@
 	f.wait.Go(func() {
 		defer close(in.ended)
 		defer store.Close()
-		in.err = node.RunLives(ctx, f.nodeOptions(in, store, number), func(n *node.Node) {
+		in.err = node.RunIncarnations(ctx, f.nodeOptions(in, store, number), func(n *node.Node) {
 			f.begin(in, n)
 			select {
 			case started <- struct{}{}:
@@ -199,14 +199,14 @@
 
 func (f *Fleet) nodeOptions(in *Instance, store *client.Client, number uint64) node.Options {
 	return node.Options{
-		Settings: f.settings(in.ID, in.Zone),
-		Store:    store,
-		List:     store,
-		Log:      f.opts.Log.With("instance", in.ID),
-		Tracer:   f.opts.Tracer,
-		Seed:     f.opts.Seed + number,
-		Blocked:  func(to fleet.Ref) bool { return f.isCut(in.ID, to.ID) },
-		Wrap: func(l net.Listener) net.Listener {
+		Settings:    f.settings(in.ID, in.Zone),
+		Store:       store,
+		List:        store,
+		Log:         f.opts.Log.With("instance", in.ID),
+		Tracer:      f.opts.Tracer,
+		Seed:        f.opts.Seed + number,
+		LinkBlocked: func(to fleet.Ref) bool { return f.isCut(in.ID, to.ID) },
+		WrapCallerListener: func(l net.Listener) net.Listener {
 			wrapped := newListener(l)
 			in.listener.Store(wrapped)
 			return wrapped
--- a/internal/node/lives.go
+++ b/internal/node/incarnations.go
@@ -8,10 +8,10 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// RunLives runs one life of an instance after another: the next begins when the fleet
+// RunIncarnations runs one life of an instance after another: the next begins when the fleet
 // took the last for dead. It returns what ended the last one, nil after a planned stop.
 // started is told of each life before it runs.
-func RunLives(ctx context.Context, o Options, started func(*Node)) error {
+func RunIncarnations(ctx context.Context, o Options, started func(*Node)) error {
 	var last uint64
 	for {
 		last = nextIncarnation(last, time.Now())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,8 +49,8 @@
 	Tracer      trace.Tracer
 	Seed        uint64 // Of the random choices.
 	// Faults for tests and the demo; nil for none.
-	Blocked func(to fleet.Ref) bool         // Peer links that lose every message.
-	Wrap    func(net.Listener) net.Listener // Callers' connections.
+	LinkBlocked        func(to fleet.Ref) bool         // Peer links that lose every message.
+	WrapCallerListener func(net.Listener) net.Listener // Callers' connections.
 }
 
 // Node is one life of an entry instance.
@@ -120,7 +120,7 @@
 		ReadTimeout:    s.Limits.ReadTimeout,
 		Tracer:         n.opts.Tracer,
 		Log:            n.log,
-		Wrap:           n.opts.Wrap,
+		WrapListener:   n.opts.WrapCallerListener,
 	}, n)
 	if err != nil {
 		return err
@@ -133,15 +133,15 @@
 	n.self.OperatorAddr = advertised(s.Listen.OperatorAdvertised, n.operator.Addr())
 	n.self.PeerAddr = s.Listen.PeerAdvertised
 	n.links, err = peer.New(peer.Config{
-		Self:    n.self,
-		Fleet:   s.Instance.Fleet,
-		Listen:  s.Listen.Peer,
-		TLS:     tlsFiles(s.Peer),
-		Resolve: func(to fleet.Ref) (fleet.Instance, bool) { return n.members.Resolve(to) },
-		Deliver: n.deliver,
-		Blocked: n.opts.Blocked,
-		Via:     n.via,
-		Log:     n.log,
+		Self:        n.self,
+		Fleet:       s.Instance.Fleet,
+		Listen:      s.Listen.Peer,
+		TLS:         tlsFiles(s.Peer),
+		Resolve:     func(to fleet.Ref) (fleet.Instance, bool) { return n.members.Resolve(to) },
+		Deliver:     n.deliver,
+		LinkBlocked: n.opts.LinkBlocked,
+		Forwarders:  n.via,
+		Log:         n.log,
 	})
 	if err != nil {
 		return err
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -85,7 +85,7 @@
 		MaxAnswerBytes: int(s.Limits.MaxAnswerBytes),
 		DialTimeout:    s.Limits.UpstreamDial,
 		IdleTimeout:    s.Limits.UpstreamIdle,
-		Outgoing:       s.Listen.Outgoing,
+		SourceIP:       s.Listen.Outgoing,
 		Seed:           n.opts.Seed,
 	}, dispatch.Hooks{Observe: n.endpoints.Observe, Leaving: n.upstreamLeaving})
 	n.claims = claims.New(claims.Options{
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -154,7 +154,7 @@
 
 // awaitQuiet waits until no request has come for a while.
 func (n *Node) awaitQuiet(ctx context.Context) {
-	for n.entry.Quiet() < quietBeforeEnd || n.calls.Running() > 0 {
+	for n.entry.IdleTime() < quietBeforeEnd || n.calls.Running() > 0 {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -43,10 +43,10 @@
 
 // via returns an instance that may pass messages on to another.
 func (l *Links) via(to fleet.Ref) (fleet.Ref, bool) {
-	if l.cfg.Via == nil {
+	if l.cfg.Forwarders == nil {
 		return fleet.Ref{}, false
 	}
-	for _, third := range l.cfg.Via(to) {
+	for _, third := range l.cfg.Forwarders(to) {
 		if third != to && third != l.cfg.Self.Ref && !l.Failing(third) {
 			return third, true
 		}
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -27,17 +27,17 @@
 
 // Config is what Links need.
 type Config struct {
-	Self    fleet.Instance // An empty PeerAddr becomes the address listened on.
-	Fleet   string
-	Listen  string    // IP number and port.
-	TLS     *TLSFiles // nil for plaintext on loopback.
-	Resolve func(fleet.Ref) (fleet.Instance, bool)
-	Deliver func(from fleet.Ref, e wire.Envelope)
-	Blocked func(to fleet.Ref) bool // Faults for tests and the demo; nil for none.
-	// Via returns instances that may pass a message on while the direct link fails, in the
+	Self        fleet.Instance // An empty PeerAddr becomes the address listened on.
+	Fleet       string
+	Listen      string    // IP number and port.
+	TLS         *TLSFiles // nil for plaintext on loopback.
+	Resolve     func(fleet.Ref) (fleet.Instance, bool)
+	Deliver     func(from fleet.Ref, e wire.Envelope)
+	LinkBlocked func(to fleet.Ref) bool // Faults for tests and the demo; nil for none.
+	// Forwarders returns instances that may pass a message on while the direct link fails, in the
 	// order in which they are tried; none when to is not believed alive. Nil for none.
-	Via func(to fleet.Ref) []fleet.Ref
-	Log *slog.Logger
+	Forwarders func(to fleet.Ref) []fleet.Ref
+	Log        *slog.Logger
 }
 
 // Links are the peer links of one instance.
@@ -148,11 +148,11 @@
 
 // Send queues a message for one life of an instance. It never blocks; the message may be lost.
 func (l *Links) Send(to fleet.Ref, kind wire.Kind, body any) {
-	l.Offer(to, kind, body)
+	l.TrySend(to, kind, body)
 }
 
-// Offer is Send that reports whether the message was queued for an instance whose address is known.
-func (l *Links) Offer(to fleet.Ref, kind wire.Kind, body any) bool {
+// TrySend does the same as Send and reports whether the message was queued for an instance whose address is known.
+func (l *Links) TrySend(to fleet.Ref, kind wire.Kind, body any) bool {
 	data, err := wire.Encode(kind, body)
 	if err != nil || len(data) > wire.MaxEnvelopeBytes {
 		l.count.dropped.Add(1)
@@ -262,7 +262,7 @@
 }
 
 func (l *Links) blocked(to fleet.Ref) bool {
-	return l.cfg.Blocked != nil && l.cfg.Blocked(to)
+	return l.cfg.LinkBlocked != nil && l.cfg.LinkBlocked(to)
 }
 
 func (l *Links) dial(ctx context.Context, to fleet.Instance) (*websocket.Conn, error) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- l.Run(ctx) }()
-	for l.Offer(ref, wire.KindMembership, note{}) == false {
+	for l.TrySend(ref, wire.KindMembership, note{}) == false {
 		time.Sleep(time.Millisecond)
 	}
 	<-received
@@ -125,7 +125,7 @@
 	b := &book{byID: map[fleet.Ref]fleet.Instance{}}
 	blocked := fleet.Ref{ID: "b", Incarnation: 1}
 	a, receivedByA := startLinks(t, b, "a", func(c *Config) {
-		c.Blocked = func(to fleet.Ref) bool { return to == blocked }
+		c.LinkBlocked = func(to fleet.Ref) bool { return to == blocked }
 	})
 	other, received := startLinks(t, b, "b", nil)
 	a.Send(blocked, wire.KindClaim, note{})
@@ -275,8 +275,8 @@
 	passer, receivedByThird := startLinks(t, b, "c", nil)
 	_, received := startLinks(t, b, "b", nil)
 	a, _ := startLinks(t, b, "a", func(c *Config) {
-		c.Blocked = func(to fleet.Ref) bool { return to == blocked }
-		c.Via = func(fleet.Ref) []fleet.Ref { return []fleet.Ref{third} }
+		c.LinkBlocked = func(to fleet.Ref) bool { return to == blocked }
+		c.Forwarders = func(fleet.Ref) []fleet.Ref { return []fleet.Ref{third} }
 	})
 	a.Send(blocked, wire.KindMembership, note{})
 	for !a.Failing(blocked) {
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -20,7 +20,7 @@
 
 // Links is what the calls need of the peer links.
 type Links interface {
-	Offer(to fleet.Ref, kind wire.Kind, body any) bool
+	TrySend(to fleet.Ref, kind wire.Kind, body any) bool
 	Unreachable(to fleet.Ref) bool
 }
 
@@ -59,7 +59,7 @@
 	c.add(id, w)
 	defer c.remove(id)
 	r.Remaining = time.Until(r.Deadline)
-	if !c.links.Offer(to, wire.KindRelayRequest, Call{ID: id, Role: role, Request: r}) {
+	if !c.links.TrySend(to, wire.KindRelayRequest, Call{ID: id, Role: role, Request: r}) {
 		return exchange.Answer{}, fmt.Errorf("%w: %s", ErrUnreachable, to)
 	}
 	select {
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithDeadline(ctx, call.Request.Deadline)
 	defer cancel()
 	answer := c.handler.Relayed(ctx, from, call.Role, call.Request)
-	c.links.Offer(from, wire.KindRelayAnswer, Reply{ID: call.ID, Answer: answer})
+	c.links.TrySend(from, wire.KindRelayAnswer, Reply{ID: call.ID, Answer: answer})
 }
 
 // Running returns how many calls of other instances run here.
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -28,7 +28,7 @@
 
 func (l *fakeLinks) Unreachable(fleet.Ref) bool { return l.unreachable }
 
-func (l *fakeLinks) Offer(to fleet.Ref, kind wire.Kind, body any) bool {
+func (l *fakeLinks) TrySend(to fleet.Ref, kind wire.Kind, body any) bool {
 	if l.full {
 		return false
 	}
