--- a/internal/dispatch/answer_test.go
+++ b/internal/dispatch/answer_test.go
@@ -20,10 +20,10 @@
 	return "", false
 }
 
-func TestRequestPassesUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	u := newRawUpstream(t, always(ok("cut")))
 	d := testDispatcher(t, newRecorder(), targetsOf(1, u.endpoint()))
-	r := order("blind 120x80")
+	r := post("curtain 120x80")
 	r.URI = "//fabrics/a%2Fb/../c?u=http://x/y&empty="
 	r.Headers = []exchange.Header{
 		{Name: "Host", Value: "shop.example"},
@@ -43,7 +43,7 @@
 	if got.RequestURI != r.URI {
 		t.Errorf("URI %q, want %q", got.RequestURI, r.URI)
 	}
-	if got.Host != "shop.example" || u.bodies[0] != "blind 120x80" || got.Header.Get("Content-Type") != "text/plain" {
+	if got.Host != "shop.example" || u.bodies[0] != "curtain 120x80" || got.Header.Get("Content-Type") != "text/plain" {
 		t.Errorf("host %q, body %q, headers %v", got.Host, u.bodies[0], got.Header)
 	}
 	if values := got.Header.Values("X-Twice"); len(values) != 2 {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestWholeAnswers(t *testing.T) {
+func TestCompleteAnswers(t *testing.T) {
 	cases := []struct {
 		name, method, raw string
 		status            int
@@ -96,7 +96,7 @@
 				}
 				for _, hop := range []string{"Connection", "Transfer-Encoding"} {
 					if _, there := header(a, hop); there {
-						t.Fatalf("%s was passed on", hop)
+						t.Fatalf("%s was forwarded", hop)
 					}
 				}
 			}
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestInvalidAnswers(t *testing.T) {
 	big := strings.Repeat("x", 65<<10)
 	cases := []struct {
 		name, raw string
@@ -135,12 +135,12 @@
 			})
 			r := newRecorder()
 			d := testDispatcher(t, r, targetsOf(1, u.endpoint()))
-			a := d.Execute(context.Background(), order("blind"))
+			a := d.Execute(context.Background(), post("curtain"))
 			if a.Code != c.code || a.Execution != result.Unknown {
 				t.Fatalf("answer %+v, body %q", a, a.Body)
 			}
 			if u.count() != 1 {
-				t.Fatalf("the order reached the upstream %d times", u.count())
+				t.Fatalf("the request reached the upstream %d times", u.count())
 			}
 			if seen := <-r.observed; !seen.Failed {
 				t.Fatalf("observed %+v", seen)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -18,48 +18,48 @@
 
 const statusNotStarted = fasthttp.StatusServiceUnavailable
 
-// outcome is what came of one attempt.
+// outcome is the result of one attempt.
 type outcome struct {
-	result   routing.AttemptResult
-	answer   exchange.Answer
-	latency  time.Duration
-	blames   bool // The endpoint failed, was not reached, or let the deadline pass.
-	leaving  bool
-	load     float64
-	hasLoad  bool
-	reusable bool
+	result         routing.AttemptResult
+	answer         exchange.Answer
+	latency        time.Duration
+	endpointFailed bool // The endpoint returned an error, was unreachable or did not answer by the deadline.
+	leaving        bool
+	load           float64
+	hasLoad        bool
+	reusable       bool
 }
 
-// send makes one attempt on an endpoint. It ends soon after ctx does.
-func send(ctx context.Context, pool *lanePool, r *exchange.Request, traceParent string, deadline time.Time) outcome {
+// send makes one attempt on an endpoint. It returns soon after ctx ends.
+func send(ctx context.Context, pool *connPool, r *exchange.Request, traceParent string, deadline time.Time) outcome {
 	started := time.Now()
-	l := pool.acquire()
-	if l == nil {
+	c := pool.acquire()
+	if c == nil {
 		return notSent(pool.endpoint, errors.New("the endpoint's connections are all in use"), false)
 	}
-	o := sendOn(ctx, l, pool.endpoint, r, traceParent, deadline)
-	pool.release(l, o.reusable)
+	o := sendOn(ctx, c, pool.endpoint, r, traceParent, deadline)
+	pool.release(c, o.reusable)
 	o.latency = time.Since(started)
 	return o
 }
 
-func sendOn(ctx context.Context, l *lane, endpoint fleet.Endpoint, r *exchange.Request, traceParent string, deadline time.Time) outcome {
+func sendOn(ctx context.Context, c *connClient, endpoint fleet.Endpoint, r *exchange.Request, traceParent string, deadline time.Time) outcome {
 	remaining := remainingMillis(time.Now(), deadline)
 	if remaining <= 0 || ctx.Err() != nil {
 		return notSent(endpoint, context.DeadlineExceeded, false)
 	}
-	// Neither is pooled: a call that was given up may still hold them.
+	// Not taken from fasthttp's pools, since an abandoned call may still use them.
 	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
 	buildRequest(req, endpoint, r, traceParent, remaining)
-	err := l.do(ctx, req, resp)
-	conn := l.attemptConn()
+	err := c.do(ctx, req, resp)
+	conn := c.attemptConn()
 	if err != nil {
-		return failedAttempt(ctx, l, conn, endpoint, err)
+		return failedAttempt(ctx, c, conn, endpoint, err)
 	}
-	return answered(conn, endpoint, r.Method, resp)
+	return checkAnswer(conn, endpoint, r.Method, resp)
 }
 
-// buildRequest fills req from a caller's request. Path and query pass unchanged.
+// buildRequest fills req from a caller's request. Path and query are forwarded unchanged.
 func buildRequest(req *fasthttp.Request, endpoint fleet.Endpoint, r *exchange.Request, traceParent string, remaining int64) {
 	uri := &fasthttp.URI{DisablePathNormalizing: true}
 	uri.SetScheme("http")
@@ -81,19 +81,20 @@
 	req.SetBodyRaw(r.Body)
 }
 
-// answered judges an answer that the library took as whole.
-func answered(conn *trackedConn, endpoint fleet.Endpoint, method string, resp *fasthttp.Response) outcome {
+// checkAnswer checks an answer that fasthttp accepted as complete.
+func checkAnswer(conn *trackedConn, endpoint fleet.Endpoint, method string, resp *fasthttp.Response) outcome {
 	status := resp.StatusCode()
 	if conn == nil || conn.readErr != nil {
-		// The end of the connection stood for the end of the answer.
-		return broken(result.CodeAnswerCutOff, endpoint, "the answer's end is not marked", true)
+		// The answer has neither a length nor chunks, so fasthttp read until the connection
+		// closed, and a cut-off answer would look the same.
+		return incomplete(result.CodeAnswerCutOff, endpoint, "the answer's end is not marked", true)
 	}
 	if status < fasthttp.StatusOK {
-		return broken(result.CodeAnswerMalformed, endpoint, "status "+strconv.Itoa(status)+" is not final", true)
+		return incomplete(result.CodeAnswerMalformed, endpoint, "status "+strconv.Itoa(status)+" is not final", true)
 	}
 	bodiless := method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
-	if !endsWhole(conn.tail, resp, bodiless) {
-		return broken(result.CodeAnswerMalformed, endpoint, "bytes follow the answer's end", true)
+	if !noTrailingBytes(conn.tail, resp, bodiless) {
+		return incomplete(result.CodeAnswerMalformed, endpoint, "bytes follow the answer's end", true)
 	}
 	return readAnswer(endpoint, resp, bodiless)
 }
@@ -101,9 +102,9 @@
 func readAnswer(endpoint fleet.Endpoint, resp *fasthttp.Response, bodiless bool) outcome {
 	status := resp.StatusCode()
 	o := outcome{reusable: !resp.ConnectionClose()}
-	o.leaving = peek(resp, HeaderLeaving) == "1"
-	o.load, o.hasLoad = parseLoad(peek(resp, HeaderLoad))
-	if status == statusNotStarted && peek(resp, HeaderNotStarted) == "1" {
+	o.leaving = headerValue(resp, HeaderLeaving) == "1"
+	o.load, o.hasLoad = parseLoad(headerValue(resp, HeaderLoad))
+	if status == statusNotStarted && headerValue(resp, HeaderNotStarted) == "1" {
 		o.result = routing.AttemptRefused
 		o.answer = exchange.Refusal(result.CodeUpstreamRefused, "Endpoint "+string(endpoint)+".")
 		return o
@@ -111,7 +112,7 @@
 	o.result = routing.AttemptSucceeded
 	if status >= fasthttp.StatusInternalServerError {
 		o.result = routing.AttemptServerError
-		o.blames = true
+		o.endpointFailed = true
 	}
 	o.answer = exchange.Answer{
 		Status:    status,
@@ -123,8 +124,8 @@
 	return o
 }
 
-// endsWhole reports whether the last bytes read are the end of the answer.
-func endsWhole(tail []byte, resp *fasthttp.Response, bodiless bool) bool {
+// noTrailingBytes reports whether the last bytes read from the connection are the end of the answer.
+func noTrailingBytes(tail []byte, resp *fasthttp.Response, bodiless bool) bool {
 	body := resp.Body()
 	if !bodiless && resp.Header.ContentLength() > 0 {
 		n := min(len(tail), len(body))
@@ -133,9 +134,9 @@
 	return bytes.HasSuffix(tail, []byte("\r\n\r\n")) || bytes.HasSuffix(tail, []byte("\n\n"))
 }
 
-// failedAttempt judges an attempt that brought no answer.
-func failedAttempt(ctx context.Context, l *lane, conn *trackedConn, endpoint fleet.Endpoint, err error) outcome {
-	aborted := l.wasAborted() || ctx.Err() != nil
+// failedAttempt classifies an attempt that ended without an answer.
+func failedAttempt(ctx context.Context, c *connClient, conn *trackedConn, endpoint fleet.Endpoint, err error) outcome {
+	aborted := c.wasAborted() || ctx.Err() != nil
 	if conn == nil || conn.written == 0 {
 		return notSent(endpoint, err, !aborted)
 	}
@@ -143,21 +144,21 @@
 	case aborted && errors.Is(context.Cause(ctx), errAttemptCancelled):
 		return cancelled(endpoint)
 	case aborted:
-		return broken(result.CodeAnswerTimedOut, endpoint, "", true)
+		return incomplete(result.CodeAnswerTimedOut, endpoint, "", true)
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return broken(result.CodeAnswerMalformed, endpoint, "the body is over its bound", true)
-	case conn.readErr != nil || !conn.readSome:
-		return broken(result.CodeAnswerCutOff, endpoint, err.Error(), true)
+		return incomplete(result.CodeAnswerMalformed, endpoint, "the body is over its bound", true)
+	case conn.readErr != nil || !conn.hasRead:
+		return incomplete(result.CodeAnswerCutOff, endpoint, err.Error(), true)
 	default:
-		return broken(result.CodeAnswerMalformed, endpoint, err.Error(), true)
+		return incomplete(result.CodeAnswerMalformed, endpoint, err.Error(), true)
 	}
 }
 
-func notSent(endpoint fleet.Endpoint, err error, blames bool) outcome {
+func notSent(endpoint fleet.Endpoint, err error, endpointFailed bool) outcome {
 	return outcome{
-		result: routing.AttemptNotSent,
-		answer: exchange.Refusal(result.CodeNotSent, "Endpoint "+string(endpoint)+": "+err.Error()+"."),
-		blames: blames,
+		result:         routing.AttemptNotSent,
+		answer:         exchange.Refusal(result.CodeNotSent, "Endpoint "+string(endpoint)+": "+err.Error()+"."),
+		endpointFailed: endpointFailed,
 	}
 }
 
@@ -168,19 +169,19 @@
 	}
 }
 
-func broken(code result.Code, endpoint fleet.Endpoint, detail string, blames bool) outcome {
+func incomplete(code result.Code, endpoint fleet.Endpoint, detail string, endpointFailed bool) outcome {
 	text := "Endpoint " + string(endpoint)
 	if detail != "" {
 		text += ": " + detail
 	}
 	return outcome{
-		result: routing.AttemptIncomplete,
-		answer: exchange.Refusal(code, text+"."),
-		blames: blames,
+		result:         routing.AttemptIncomplete,
+		answer:         exchange.Refusal(code, text+"."),
+		endpointFailed: endpointFailed,
 	}
 }
 
-// parseLoad returns a reported load from 0 to 1.
+// parseLoad parses the load that an upstream reports, capped at 1.
 func parseLoad(text string) (float64, bool) {
 	load, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(load >= 0) {
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -6,24 +6,24 @@
 	"github.com/damaskcove/damaskcove/internal/sockpeek"
 )
 
-// tailBytes is how much of the end of what was read a connection remembers.
+// tailBytes is how many of the last bytes read a connection keeps.
 const tailBytes = 32
 
-// trackedConn counts what passes during one attempt. One attempt uses it at a time.
+// trackedConn records what is written and read during an attempt. One attempt uses it at a time.
 type trackedConn struct {
 	net.Conn
-	written  int    // Bytes that the connection took.
-	readErr  error  // First error of Read.
-	tail     []byte // The last bytes read.
-	tailBuf  [2 * tailBytes]byte
-	readSome bool
+	written int    // Bytes written.
+	readErr error  // First error of Read.
+	tail    []byte // The last bytes read.
+	tailBuf [2 * tailBytes]byte
+	hasRead bool
 }
 
-// begin starts the counts anew.
-func (c *trackedConn) begin() {
+// reset clears the records before the next attempt.
+func (c *trackedConn) reset() {
 	c.written = 0
 	c.readErr = nil
-	c.readSome = false
+	c.hasRead = false
 	c.tail = c.tailBuf[:0]
 }
 
@@ -38,8 +38,8 @@
 func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.readSome = true
-		c.remember(p[:n])
+		c.hasRead = true
+		c.recordTail(p[:n])
 	}
 	if err != nil && c.readErr == nil {
 		c.readErr = err
@@ -47,8 +47,8 @@
 	return n, err
 }
 
-// remember keeps the last tailBytes of what was read.
-func (c *trackedConn) remember(p []byte) {
+// recordTail keeps the last tailBytes of what was read.
+func (c *trackedConn) recordTail(p []byte) {
 	if len(p) >= tailBytes {
 		c.tail = append(c.tailBuf[:0], p[len(p)-tailBytes:]...)
 		return
@@ -59,9 +59,9 @@
 	c.tail = append(c.tail, p...)
 }
 
-// quiet reports whether an idle connection is open and has nothing to read. Bytes on an
-// idle connection answer no request of ours.
-func (c *trackedConn) quiet() bool {
+// isIdle reports whether an unused connection is open and has nothing to read. Bytes that
+// arrive between requests belong to no request, so such a connection must not be reused.
+func (c *trackedConn) isIdle() bool {
 	state := sockpeek.Look(c.Conn)
 	return state == sockpeek.Quiet || state == sockpeek.Unknown
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -13,7 +13,7 @@
 	"github.com/damaskcove/damaskcove/internal/exchange"
 )
 
-// Dispatcher sends the requests of every service of this instance to upstreams.
+// Dispatcher sends the requests for every service of this instance to upstreams.
 type Dispatcher struct {
 	settings Settings
 	hooks    Hooks
@@ -21,7 +21,7 @@
 	mu       sync.RWMutex
 	services map[fleet.Service]*service
 	stopping bool
-	pending  sync.WaitGroup // Calls of Execute under way.
+	pending  sync.WaitGroup // Running calls of Execute.
 }
 
 // New returns a dispatcher without services.
@@ -45,22 +45,22 @@
 	s.setTargets(cfg, targets)
 }
 
-// Execute sends a request to its service's upstreams and returns its one answer. An
-// idempotent request may be retried and hedged; any other gets one attempt that may have
-// run. It returns soon after ctx ends or the request's deadline passes.
+// Execute sends a request to its service's upstreams and returns the answer. An idempotent
+// request may be retried and hedged. Any other is sent again only while no earlier attempt
+// can have run. Execute returns soon after ctx ends or the request's deadline passes.
 func (d *Dispatcher) Execute(ctx context.Context, r exchange.Request) exchange.Answer {
-	s, refusal := d.enter(r.Service)
+	s, refusal := d.admit(r.Service)
 	if s == nil {
-		return counted(refusal)
+		return countAnswer(refusal)
 	}
 	defer d.pending.Done()
 	counters.Add(countRequests, 1)
 	r.Deadline = d.deadline(ctx, r.Deadline)
-	return counted(s.execute(ctx, r))
+	return countAnswer(s.execute(ctx, r))
 }
 
-// Drain takes no new requests and waits until those under way have ended, then closes the
-// connections. It returns ctx's error when ctx ends first.
+// Drain rejects new requests, waits for the running ones and closes the connections. It
+// returns ctx's error if ctx ends first.
 func (d *Dispatcher) Drain(ctx context.Context) error {
 	d.mu.Lock()
 	d.stopping = true
@@ -79,8 +79,9 @@
 	}
 }
 
-// enter counts a request in and returns its service, or the refusal when there is none.
-func (d *Dispatcher) enter(name fleet.Service) (*service, exchange.Answer) {
+// admit adds a request to pending and returns its service, or a refusal if the service is
+// unknown or the dispatcher is stopping.
+func (d *Dispatcher) admit(name fleet.Service) (*service, exchange.Answer) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if d.stopping {
@@ -94,7 +95,7 @@
 	return s, exchange.Answer{}
 }
 
-// deadline returns the earliest of the request's deadline and ctx's.
+// deadline returns the earlier of the request's deadline (the default if it has none) and ctx's.
 func (d *Dispatcher) deadline(ctx context.Context, requested time.Time) time.Time {
 	if requested.IsZero() {
 		requested = time.Now().Add(d.settings.Deadline)
@@ -120,16 +121,16 @@
 	return rand.New(rand.NewPCG(d.settings.Seed, uint64(len(d.services))))
 }
 
-// counted counts an answer by its code.
-func counted(a exchange.Answer) exchange.Answer {
+// countAnswer counts an answer by its result code and returns it.
+func countAnswer(a exchange.Answer) exchange.Answer {
 	counters.Add(codeCounter(a.Code), 1)
 	return a
 }
 
-// codeCounter returns the name of a code's counter.
+// codeCounter returns the name of a result code's counter.
 func codeCounter(code result.Code) string {
 	if entry, ok := result.Lookup(code); ok {
-		return countCodeStart + entry.Name
+		return countCodePrefix + entry.Name
 	}
-	return countCodeStart + "unlisted"
+	return countCodePrefix + "unlisted"
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -31,7 +31,7 @@
 	u := newRawUpstream(t, always(ok("a")))
 	d := testDispatcher(t, newRecorder(), targetsOf(1, u.endpoint()))
 	for range 5 {
-		if a := d.Execute(context.Background(), order("x")); a.Code != result.CodeAnswered {
+		if a := d.Execute(context.Background(), post("x")); a.Code != result.CodeAnswered {
 			t.Fatalf("answer %+v", a)
 		}
 	}
@@ -49,14 +49,14 @@
 	})
 	d := testDispatcher(t, newRecorder(), targetsOf(1, u.endpoint()))
 	for range 3 {
-		if a := d.Execute(context.Background(), order("x")); a.Code != result.CodeAnswered {
+		if a := d.Execute(context.Background(), post("x")); a.Code != result.CodeAnswered {
 			t.Fatalf("answer %+v, body %q", a, a.Body)
 		}
 		<-closed
 	}
 }
 
-func TestConnectionClosedUnderAnOrderIsUnknown(t *testing.T) {
+func TestConnectionClosedDuringPostIsUnknown(t *testing.T) {
 	u := newRawUpstream(t, func(conn net.Conn, number int, _ *http.Request) {
 		if number == 2 {
 			_ = conn.Close()
@@ -65,18 +65,18 @@
 		_, _ = io.WriteString(conn, ok("a"))
 	})
 	d := testDispatcher(t, newRecorder(), targetsOf(1, u.endpoint()))
-	d.Execute(context.Background(), order("first"))
-	a := d.Execute(context.Background(), order("second"))
+	d.Execute(context.Background(), post("first"))
+	a := d.Execute(context.Background(), post("second"))
 	if a.Code != result.CodeAnswerCutOff || a.Execution != result.Unknown {
 		t.Fatalf("answer %+v", a)
 	}
 	if u.count() != 2 {
-		t.Fatalf("two orders reached the upstream %d times", u.count())
+		t.Fatalf("two requests reached the upstream %d times", u.count())
 	}
 }
 
-func TestStrayBytesOnIdleConnectionReachNobody(t *testing.T) {
-	answered, stray := make(chan struct{}), make(chan struct{})
+func TestUnexpectedBytesOnIdleConnectionAreDiscarded(t *testing.T) {
+	answered, sent := make(chan struct{}), make(chan struct{})
 	u := newRawUpstream(t, func(conn net.Conn, number int, _ *http.Request) {
 		_, _ = io.WriteString(conn, ok("own"))
 		if number > 1 {
@@ -85,20 +85,20 @@
 		go func() {
 			<-answered
 			_, _ = io.WriteString(conn, ok("of another"))
-			close(stray)
+			close(sent)
 		}()
 	})
 	d := testDispatcher(t, newRecorder(), targetsOf(1, u.endpoint()))
 	first := d.Execute(context.Background(), get("/"))
 	close(answered)
-	<-stray
+	<-sent
 	second := d.Execute(context.Background(), get("/"))
 	if string(second.Body) != "own" {
 		t.Fatalf("answers %q, %q", first.Body, second.Body)
 	}
 }
 
-func TestLateAnswerReachesNobody(t *testing.T) {
+func TestLateAnswerIsDiscarded(t *testing.T) {
 	release := make(chan struct{})
 	u := newRawUpstream(t, func(conn net.Conn, number int, _ *http.Request) {
 		if number == 1 {
@@ -112,7 +112,7 @@
 	})
 	r := newRecorder()
 	d := testDispatcher(t, r, targetsOf(1, u.endpoint()))
-	slow := order("slow")
+	slow := post("slow")
 	slow.Deadline = time.Now().Add(30 * time.Millisecond)
 	a := d.Execute(context.Background(), slow)
 	if a.Code != result.CodeAnswerTimedOut || a.Execution != result.Unknown {
@@ -127,25 +127,25 @@
 	}
 }
 
-func TestRefusedOrderRunsElsewhere(t *testing.T) {
+func TestRefusedRequestRunsOnAnotherEndpoint(t *testing.T) {
 	full := newRawUpstream(t, always(refusal))
 	free := newRawUpstream(t, always(ok("done")))
 	d := testDispatcher(t, newRecorder(), targetsOf(1, full.endpoint(), free.endpoint()))
 	for range 4 {
-		if a := d.Execute(context.Background(), order("x")); a.Code != result.CodeAnswered {
+		if a := d.Execute(context.Background(), post("x")); a.Code != result.CodeAnswered {
 			t.Fatalf("answer %+v, body %q", a, a.Body)
 		}
 	}
 	if free.count() != 4 {
-		t.Fatalf("4 orders ran %d times", free.count())
+		t.Fatalf("4 requests ran %d times", free.count())
 	}
 }
 
-func TestRefusalIsTruthful(t *testing.T) {
+func TestRefusedRequestIsNotRun(t *testing.T) {
 	full := newRawUpstream(t, always(refusal))
 	r := newRecorder()
 	d := testDispatcher(t, r, targetsOf(1, full.endpoint()))
-	a := d.Execute(context.Background(), order("x"))
+	a := d.Execute(context.Background(), post("x"))
 	if a.Code != result.CodeUpstreamRefused || a.Execution != result.NotRun {
 		t.Fatalf("answer %+v", a)
 	}
@@ -154,48 +154,48 @@
 	}
 }
 
-func TestOrdinary503IsNotARefusal(t *testing.T) {
-	sick := newRawUpstream(t, always("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
+func TestPlain503IsNotARefusal(t *testing.T) {
+	failing := newRawUpstream(t, always("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
 	other := newRawUpstream(t, always(ok("done")))
-	d := testDispatcher(t, newRecorder(), targetsOf(1, sick.endpoint(), other.endpoint()))
-	orders := 4
-	for range orders {
-		if a := d.Execute(context.Background(), order("x")); a.Execution != result.Ran {
+	d := testDispatcher(t, newRecorder(), targetsOf(1, failing.endpoint(), other.endpoint()))
+	requests := 4
+	for range requests {
+		if a := d.Execute(context.Background(), post("x")); a.Execution != result.Ran {
 			t.Fatalf("answer %+v", a)
 		}
 	}
-	if sent := sick.count() + other.count(); sent != orders {
-		t.Fatalf("%d orders were sent %d times", orders, sent)
+	if sent := failing.count() + other.count(); sent != requests {
+		t.Fatalf("%d requests were sent %d times", requests, sent)
 	}
 }
 
 func TestUnreachableEndpoint(t *testing.T) {
-	gone := closedEndpoint(t)
+	closed := closedEndpoint(t)
 	r := newRecorder()
-	d := testDispatcher(t, r, targetsOf(1, gone))
-	a := d.Execute(context.Background(), order("x"))
+	d := testDispatcher(t, r, targetsOf(1, closed))
+	a := d.Execute(context.Background(), post("x"))
 	if a.Code != result.CodeNotSent || a.Execution != result.NotRun {
 		t.Fatalf("answer %+v", a)
 	}
-	if seen := <-r.observed; !seen.Failed || seen.Endpoint != gone {
+	if seen := <-r.observed; !seen.Failed || seen.Endpoint != closed {
 		t.Fatalf("observed %+v", seen)
 	}
 	free := newRawUpstream(t, always(ok("done")))
-	d.SetTargets(testService, routing.Config{RetryShare: 1, HedgeQuantile: -1}, targetsOf(1, gone, free.endpoint()))
+	d.SetTargets(testService, routing.Config{RetryShare: 1, HedgeQuantile: -1}, targetsOf(1, closed, free.endpoint()))
 	for range 4 {
-		if a := d.Execute(context.Background(), order("x")); a.Code != result.CodeAnswered {
+		if a := d.Execute(context.Background(), post("x")); a.Code != result.CodeAnswered {
 			t.Fatalf("answer %+v, body %q", a, a.Body)
 		}
 	}
 	if free.count() != 4 {
-		t.Fatalf("4 orders ran %d times", free.count())
+		t.Fatalf("4 requests ran %d times", free.count())
 	}
 }
 
-func TestFailedLookupIsRetriedElsewhere(t *testing.T) {
-	sick := newRawUpstream(t, func(conn net.Conn, _ int, _ *http.Request) { _ = conn.Close() })
-	sound := newRawUpstream(t, always(ok("stock")))
-	d := testDispatcher(t, newRecorder(), targetsOf(1, sick.endpoint(), sound.endpoint()))
+func TestFailedGetIsRetriedOnAnotherEndpoint(t *testing.T) {
+	failing := newRawUpstream(t, func(conn net.Conn, _ int, _ *http.Request) { _ = conn.Close() })
+	healthy := newRawUpstream(t, always(ok("stock")))
+	d := testDispatcher(t, newRecorder(), targetsOf(1, failing.endpoint(), healthy.endpoint()))
 	for range 4 {
 		if a := d.Execute(context.Background(), get("/stock")); string(a.Body) != "stock" {
 			t.Fatalf("answer %+v", a)
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestCallerGoneClosesTheUpstreamConnection(t *testing.T) {
+func TestCallerDisconnectClosesUpstreamConnection(t *testing.T) {
 	started := make(chan struct{})
 	closed := make(chan error, 1)
 	u := newRawUpstream(t, func(conn net.Conn, _ int, _ *http.Request) {
@@ -218,7 +218,7 @@
 		<-started
 		cancel()
 	}()
-	a := d.Execute(ctx, order("x"))
+	a := d.Execute(ctx, post("x"))
 	if a.Code != result.CodeCallerGone || a.Execution != result.Unknown {
 		t.Fatalf("answer %+v", a)
 	}
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestCallerGoneInTheQueue(t *testing.T) {
+func TestCallerDisconnectWhileQueued(t *testing.T) {
 	started := make(chan struct{})
 	release := make(chan struct{})
 	u := newRawUpstream(t, func(conn net.Conn, _ int, _ *http.Request) {
@@ -240,21 +240,21 @@
 	})
 	d := testDispatcher(t, newRecorder(), targetsOf(1, u.endpoint()))
 	first := make(chan result.Code, 1)
-	go func() { first <- d.Execute(context.Background(), order("x")).Code }()
+	go func() { first <- d.Execute(context.Background(), post("x")).Code }()
 	<-started
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	a := d.Execute(ctx, order("y"))
+	a := d.Execute(ctx, post("y"))
 	if a.Code != result.CodeCallerGone || a.Execution != result.NotRun {
 		t.Fatalf("answer %+v", a)
 	}
 	close(release)
 	if code := <-first; code != result.CodeAnswered {
-		t.Fatalf("the first order ended with %d", code)
+		t.Fatalf("the first request ended with %d", code)
 	}
 }
 
-func TestDeadlineInTheQueue(t *testing.T) {
+func TestDeadlineWhileQueued(t *testing.T) {
 	started := make(chan struct{})
 	release := make(chan struct{})
 	u := newRawUpstream(t, func(conn net.Conn, _ int, _ *http.Request) {
@@ -264,32 +264,32 @@
 	})
 	d := testDispatcher(t, newRecorder(), targetsOf(1, u.endpoint()))
 	first := make(chan result.Code, 1)
-	go func() { first <- d.Execute(context.Background(), order("x")).Code }()
+	go func() { first <- d.Execute(context.Background(), post("x")).Code }()
 	<-started
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
-	a := d.Execute(ctx, order("y"))
+	a := d.Execute(ctx, post("y"))
 	if a.Code != result.CodeShedDeadline || a.Execution != result.NotRun {
 		t.Fatalf("answer %+v", a)
 	}
 	close(release)
 	if code := <-first; code != result.CodeAnswered {
-		t.Fatalf("the first order ended with %d", code)
+		t.Fatalf("the first request ended with %d", code)
 	}
 }
 
-func TestTrialIsHedgedAndRunsOn(t *testing.T) {
+func TestTrialIsHedgedAndNotCancelled(t *testing.T) {
 	release := make(chan struct{})
 	trial := newRawUpstream(t, func(conn net.Conn, _ int, _ *http.Request) {
 		<-release
 		_, _ = io.WriteString(conn, ok("trial"))
 	})
-	sound := newRawUpstream(t, always(ok("sound")))
+	healthy := newRawUpstream(t, always(ok("healthy")))
 	r := newRecorder()
-	targets := targetsOf(2, trial.endpoint(), sound.endpoint())
+	targets := targetsOf(2, trial.endpoint(), healthy.endpoint())
 	targets[0].State = routing.StateTrial
 	d := testDispatcher(t, r, targets)
-	if a := d.Execute(context.Background(), get("/")); string(a.Body) != "sound" {
+	if a := d.Execute(context.Background(), get("/")); string(a.Body) != "healthy" {
 		t.Fatalf("answer %+v", a)
 	}
 	<-r.observed
@@ -299,19 +299,19 @@
 	}
 }
 
-func TestLeavingAnswerStopsNewWork(t *testing.T) {
+func TestLeavingHeaderStopsNewRequests(t *testing.T) {
 	leaving := newRawUpstream(t, always("HTTP/1.1 200 OK\r\nX-Leaving: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := newRecorder()
 	d := testDispatcher(t, r, targetsOf(1, leaving.endpoint()))
-	if a := d.Execute(context.Background(), order("x")); a.Code != result.CodeAnswered {
+	if a := d.Execute(context.Background(), post("x")); a.Code != result.CodeAnswered {
 		t.Fatalf("answer %+v", a)
 	}
 	if e := <-r.leaving; e != leaving.endpoint() {
 		t.Fatalf("leaving %s", e)
 	}
-	// The platform's list lags and names it still.
+	// The platform's list is stale and still names the endpoint as available.
 	d.SetTargets(testService, routing.Config{}, targetsOf(1, leaving.endpoint()))
-	a := d.Execute(context.Background(), order("y"))
+	a := d.Execute(context.Background(), post("y"))
 	if a.Code != result.CodeNoEndpoint || leaving.count() != 1 {
 		t.Fatalf("answer %+v, %d requests", a, leaving.count())
 	}
@@ -333,7 +333,7 @@
 		t.Fatalf("answer %+v", a)
 	}
 	body := make(chan string, 1)
-	go func() { body <- string(d.Execute(context.Background(), order("x")).Body) }()
+	go func() { body <- string(d.Execute(context.Background(), post("x")).Body) }()
 	<-started
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -12,7 +12,7 @@
 	"github.com/damaskcove/damaskcove/internal/exchange"
 )
 
-// apply carries out the balancer's effects and sets the timer. s.mu is held.
+// apply carries out the balancer's effects and sets the timer. s.mu must be held.
 func (s *service) apply(now time.Time, effects []routing.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -29,7 +29,7 @@
 	s.setTimer(now)
 }
 
-// setTimer makes the timer run when the balancer next needs it.
+// setTimer sets the timer to the balancer's next wake-up.
 func (s *service) setTimer(now time.Time) {
 	at, ok := s.balancer.NextWake(now)
 	if !ok || s.closed {
@@ -66,24 +66,24 @@
 	}
 }
 
-// run makes one attempt and reports its end, in every case.
-func (s *service) run(ctx context.Context, c *call, pool *lanePool, e routing.Dispatch) {
+// run makes one attempt and always reports its end, also after a panic.
+func (s *service) run(ctx context.Context, c *call, pool *connPool, e routing.Dispatch) {
 	ctx, stop := context.WithDeadline(ctx, e.Deadline)
 	defer stop()
 	ctx, span := startSpan(ctx, s.name, &c.request, e)
 	var o outcome
 	if recovered := panics.Try(func() { o = send(ctx, pool, &c.request, traceParent(ctx), e.Deadline) }); recovered != nil {
 		counters.Add(countPanics, 1)
-		o = broken(result.CodeOutcomeUnknown, e.Endpoint, recovered.AsError().Error(), false)
+		o = incomplete(result.CodeOutcomeUnknown, e.Endpoint, recovered.AsError().Error(), false)
 	}
 	endSpan(span, o)
-	lost := s.finish(c, e, o)
-	s.report(e, o, lost)
+	superseded := s.finishAttempt(c, e, o)
+	s.notifyHooks(e, o, superseded)
 }
 
-// finish tells the balancer of an attempt's end. It reports whether another attempt of
-// the request had answered first.
-func (s *service) finish(c *call, e routing.Dispatch, o outcome) (lost bool) {
+// finishAttempt passes an attempt's result to the balancer. It reports whether the request
+// was already answered, for example by a hedge.
+func (s *service) finishAttempt(c *call, e routing.Dispatch, o outcome) (superseded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -91,7 +91,7 @@
 	a.cancel(nil)
 	a.answer = o.answer
 	c.running--
-	lost = c.answered
+	superseded = c.answered
 	if o.hasLoad {
 		s.balancer.SetLoad(now, e.Endpoint, o.load)
 	}
@@ -100,39 +100,39 @@
 		s.apply(now, s.balancer.MarkLeaving(now, e.Endpoint))
 	}
 	s.apply(now, s.balancer.Finish(now, e.ID, e.Attempt, o.result, o.latency))
-	s.forget(e.ID, c)
-	return lost
+	s.removeFinished(e.ID, c)
+	return superseded
 }
 
-// report tells the hooks of an attempt's end. s.mu is not held.
-func (s *service) report(e routing.Dispatch, o outcome, lost bool) {
+// notifyHooks calls the hooks after an attempt. s.mu must not be held.
+func (s *service) notifyHooks(e routing.Dispatch, o outcome, superseded bool) {
 	if o.leaving {
 		counters.Add(countLeaving, 1)
 		if s.hooks.Leaving != nil {
 			s.hooks.Leaving(s.name, e.Endpoint)
 		}
 	}
-	if s.hooks.Observe == nil || !observable(e, o, lost) {
+	if s.hooks.Observe == nil || !observable(e, o, superseded) {
 		return
 	}
 	s.hooks.Observe(s.name, health.Attempt{
 		Endpoint: e.Endpoint,
-		Failed:   o.blames,
+		Failed:   o.endpointFailed,
 		Latency:  o.latency,
 		Trial:    e.Trial,
 	})
 }
 
-// observable reports whether an attempt says something of its endpoint. One that was
-// cancelled because its hedge answered first does: it took at least that long.
-func observable(e routing.Dispatch, o outcome, lost bool) bool {
+// observable reports whether an attempt is evidence about its endpoint's health. An attempt
+// that was cancelled because its hedge answered first is: it took at least that long.
+func observable(e routing.Dispatch, o outcome, superseded bool) bool {
 	switch o.result {
 	case routing.AttemptSucceeded, routing.AttemptServerError:
 		return true
 	case routing.AttemptIncomplete, routing.AttemptNotSent:
-		return o.blames
+		return o.endpointFailed
 	case routing.AttemptCancelled:
-		return lost && !e.Hedge
+		return superseded && !e.Hedge
 	default:
 		return false
 	}
@@ -150,7 +150,7 @@
 
 func (s *service) deliver(e routing.Deliver) {
 	c := s.calls[e.ID]
-	s.end(e.ID, c, c.attempts[e.Attempt-1].answer)
+	s.complete(e.ID, c, c.attempts[e.Attempt-1].answer)
 }
 
 func (s *service) reject(e routing.Reject) {
@@ -158,24 +158,23 @@
 	if e.NotRun {
 		a.Execution = result.NotRun
 	}
-	s.end(e.ID, s.calls[e.ID], a)
+	s.complete(e.ID, s.calls[e.ID], a)
 }
 
-// end gives the call its one answer.
-func (s *service) end(id uint64, c *call, a exchange.Answer) {
+// complete gives the call its only answer.
+func (s *service) complete(id uint64, c *call, a exchange.Answer) {
 	c.answered = true
 	c.answer <- a
-	s.forget(id, c)
+	s.removeFinished(id, c)
 }
 
-// forget drops a call that is answered and has no attempt under way.
-func (s *service) forget(id uint64, c *call) {
+// removeFinished removes a call that is answered and has no running attempt.
+func (s *service) removeFinished(id uint64, c *call) {
 	if c.answered && c.running == 0 {
 		delete(s.calls, id)
 	}
 }
 
-// rejectCode returns the result code of a reason.
 func rejectCode(reason routing.RejectReason) result.Code {
 	switch reason {
 	case routing.RejectNoEndpoint:
--- a/internal/dispatch/headers.go
+++ b/internal/dispatch/headers.go
@@ -11,16 +11,17 @@
 // Headers between the fleet and the upstreams.
 const (
 	HeaderDeadline   = "X-Request-Deadline-Ms" // To upstreams: milliseconds left.
-	HeaderNotStarted = "X-Not-Started"         // From upstreams, "1" with status 503: refused before it was started.
-	HeaderLeaving    = "X-Leaving"             // From upstreams, "1": no new work, please.
-	HeaderLoad       = "X-Load"                // From upstreams: reported load, 0 to 1.
+	HeaderNotStarted = "X-Not-Started"         // From upstreams, "1" with status 503: the request was refused before it started.
+	HeaderLeaving    = "X-Leaving"             // From upstreams, "1": the endpoint is leaving and wants no new requests.
+	HeaderLoad       = "X-Load"                // From upstreams: the endpoint's load, 0 to 1.
 )
 
 // headerTrace is the W3C trace context header.
 const headerTrace = "Traceparent"
 
-// own lists the headers that the fleet sets itself or reads for itself.
-var own = map[string]bool{
+// internalHeaders lists, in lower case, the headers that the fleet sets or consumes itself
+// and does not forward.
+var internalHeaders = map[string]bool{
 	"content-length":        true,
 	"expect":                true,
 	"host":                  true,
@@ -45,15 +46,15 @@
 			req.Header.SetHost(h.Value)
 			continue
 		}
-		if exchange.HopByHop(name) || own[name] || listed[name] {
+		if exchange.HopByHop(name) || internalHeaders[name] || listed[name] {
 			continue
 		}
 		req.Header.Add(h.Name, h.Value)
 	}
 }
 
-// readHeaders copies the end-to-end headers of an answer. The length is kept only where
-// there is no body to take it from.
+// readHeaders copies the end-to-end headers of an answer. With keepLength, for an answer
+// without a body, Content-Length is copied too, since it can't be derived from the body.
 func readHeaders(resp *fasthttp.Response, keepLength bool) []exchange.Header {
 	resp.Header.SetNoDefaultContentType(true)
 	var listed exchange.ConnectionNames
@@ -71,7 +72,7 @@
 			headers = append(headers, exchange.Header{Name: "Content-Length", Value: string(value)})
 			continue
 		}
-		if exchange.HopByHop(lower) || own[lower] || listed[lower] {
+		if exchange.HopByHop(lower) || internalHeaders[lower] || listed[lower] {
 			continue
 		}
 		headers = append(headers, exchange.Header{Name: string(name), Value: string(value)})
@@ -79,8 +80,8 @@
 	return headers
 }
 
-// peek returns the value of an answer's header, whatever the case of its name.
-func peek(resp *fasthttp.Response, name string) string {
+// headerValue returns the value of an answer's header. The case of the name is ignored.
+func headerValue(resp *fasthttp.Response, name string) string {
 	for key, value := range resp.Header.All() {
 		if strings.EqualFold(string(key), name) {
 			return string(value)
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -2,20 +2,20 @@
 
 import "expvar"
 
-// counters holds the process's counts of requests and attempts.
+// counters holds the counts of requests and attempts since the process started.
 var counters = expvar.NewMap("dispatch")
 
-// Names of the counters.
+// Keys of counters.
 const (
-	countRequests  = "requests"
-	countAttempts  = "attempts"
-	countRetries   = "retries"
-	countHedges    = "hedges"
-	countTrials    = "trials"
-	countCancels   = "cancelled_attempts"
-	countDials     = "dials"
-	countStale     = "idle_connections_dropped"
-	countPanics    = "attempt_panics"
-	countLeaving   = "leaving_answers"
-	countCodeStart = "code_"
+	countRequests   = "requests"
+	countAttempts   = "attempts"
+	countRetries    = "retries"
+	countHedges     = "hedges"
+	countTrials     = "trials"
+	countCancels    = "cancelled_attempts"
+	countDials      = "dials"
+	countStale      = "idle_connections_dropped"
+	countPanics     = "attempt_panics"
+	countLeaving    = "leaving_answers"
+	countCodePrefix = "code_"
 )
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -12,10 +12,11 @@
 	"github.com/damaskcove/damaskcove/internal/exchange"
 )
 
-// errAttemptCancelled is the cause of an attempt's cancellation by this side before its deadline.
+// errAttemptCancelled is the cancellation cause of an attempt that this side cancels before its deadline.
 var errAttemptCancelled = errors.New("attempt cancelled")
 
-// service is one service's balancer with the calls that it holds. mu guards all of it.
+// service runs the balancer of one service and holds its unfinished calls. mu guards the
+// fields below it.
 type service struct {
 	name     fleet.Service
 	settings Settings
@@ -24,7 +25,7 @@
 	mu           sync.Mutex
 	balancer     *routing.Balancer
 	calls        map[uint64]*call
-	pools        map[fleet.Endpoint]*lanePool
+	pools        map[fleet.Endpoint]*connPool
 	leavingUntil map[fleet.Endpoint]time.Time
 	nextID       uint64
 	timer        *time.Timer
@@ -32,11 +33,11 @@
 	closed       bool
 }
 
-// call is a request with its attempts.
+// call is a caller's request with its attempts.
 type call struct {
 	ctx      context.Context
 	request  exchange.Request
-	answer   chan exchange.Answer // Takes the one answer.
+	answer   chan exchange.Answer // Receives exactly one answer.
 	answered bool
 	attempts []callAttempt
 	running  int
@@ -56,7 +57,7 @@
 		hooks:        hooks,
 		balancer:     routing.NewBalancer(routing.Config{}, random),
 		calls:        make(map[uint64]*call),
-		pools:        make(map[fleet.Endpoint]*lanePool),
+		pools:        make(map[fleet.Endpoint]*connPool),
 		leavingUntil: make(map[fleet.Endpoint]time.Time),
 	}
 	s.timer = time.AfterFunc(time.Hour, s.tick)
@@ -64,7 +65,7 @@
 	return s
 }
 
-// execute runs one request to its end.
+// execute submits a request to the balancer and waits for its answer.
 func (s *service) execute(ctx context.Context, r exchange.Request) exchange.Answer {
 	c := &call{ctx: ctx, request: r, answer: make(chan exchange.Answer, 1)}
 	id := s.submit(c)
@@ -73,7 +74,7 @@
 		return a
 	case <-ctx.Done():
 	}
-	s.stop(id, errors.Is(ctx.Err(), context.DeadlineExceeded))
+	s.cancelCall(id, errors.Is(ctx.Err(), context.DeadlineExceeded))
 	return <-c.answer
 }
 
@@ -93,13 +94,13 @@
 	return id
 }
 
-// stop ends a call whose context has ended. A call past its deadline ends as the balancer
-// ends it, any other as cancelled by its caller.
-func (s *service) stop(id uint64, late bool) {
+// cancelCall ends a call whose context has ended. After a timeout the balancer decides the
+// result; otherwise the call is cancelled on behalf of its caller.
+func (s *service) cancelCall(id uint64, timedOut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if late {
+	if timedOut {
 		s.apply(now, s.balancer.Tick(now))
 		return
 	}
@@ -120,13 +121,14 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.balancer.SetConfig(cfg)
-	targets = s.withLeaving(now, targets)
+	targets = s.markLeaving(now, targets)
 	s.setPools(targets)
 	s.apply(now, s.balancer.SetTargets(now, targets))
 }
 
-// withLeaving returns targets with those that lately said they are leaving marked so.
-func (s *service) withLeaving(now time.Time, targets []routing.Target) []routing.Target {
+// markLeaving returns targets with the state "leaving" for the endpoints whose recent
+// answers said that they are leaving.
+func (s *service) markLeaving(now time.Time, targets []routing.Target) []routing.Target {
 	for endpoint, until := range s.leavingUntil {
 		if !now.Before(until) {
 			delete(s.leavingUntil, endpoint)
@@ -144,7 +146,7 @@
 	return marked
 }
 
-// setPools keeps one pool of connections for each endpoint.
+// setPools keeps one connection pool for each target and closes the others.
 func (s *service) setPools(targets []routing.Target) {
 	listed := make(map[fleet.Endpoint]bool, len(targets))
 	for _, t := range targets {
@@ -152,7 +154,7 @@
 		listed[endpoint] = true
 		pool := s.pools[endpoint]
 		if pool == nil {
-			pool = &lanePool{endpoint: endpoint, settings: s.settings}
+			pool = &connPool{endpoint: endpoint, settings: s.settings}
 			s.pools[endpoint] = pool
 		}
 		pool.setLimit(max(t.Limit, 0))
@@ -165,7 +167,7 @@
 	}
 }
 
-// close ends the timer and the idle connections.
+// close stops the timer and closes the idle connections.
 func (s *service) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -16,24 +16,25 @@
 	DefaultLeavingHold    = 10 * time.Second
 )
 
-// Settings are the bounds of a Dispatcher. Zero values take the defaults.
+// Settings configures a Dispatcher. Zero values take the defaults.
 type Settings struct {
-	MaxAnswerBytes int           // Bound of an answer's body.
-	DialTimeout    time.Duration // Bound on opening a connection.
-	SourceIP       string        // IP number that connections come from; empty for the system's choice.
-	IdleTimeout    time.Duration // Time after which an idle connection is closed.
-	Deadline       time.Duration // Given to requests that come without a deadline.
-	LeavingHold    time.Duration // Time for which an endpoint that said it is leaving gets no work, whatever the targets say.
-	Seed           uint64        // Of the random choices; zero draws one.
+	MaxAnswerBytes int           // Largest body of an answer.
+	DialTimeout    time.Duration // For opening a connection.
+	SourceIP       string        // Local IP address of connections to upstreams; empty lets the system choose.
+	IdleTimeout    time.Duration // An idle connection is closed after this time.
+	Deadline       time.Duration // For requests without a deadline.
+	LeavingHold    time.Duration // How long an endpoint that reported it is leaving gets no new requests, whatever state the targets give it.
+	Seed           uint64        // Seeds the random choices; zero picks a random seed.
 }
 
-// Hooks are called by a Dispatcher, from several goroutines at once. They must not block. Nil hooks are skipped.
+// Hooks are called by a Dispatcher, concurrently from several goroutines. They must not
+// block. Nil hooks are skipped.
 type Hooks struct {
-	// Observe is told of each finished attempt that says something of its endpoint. The
-	// latency of an attempt that was cancelled because its hedge answered first is the
-	// time it had run for: a lower bound.
+	// Observe is called after each attempt that is evidence about its endpoint's health. For
+	// an attempt that was cancelled because its hedge answered first, the latency is the time
+	// until the cancellation, which is a lower bound.
 	Observe func(service fleet.Service, a health.Attempt)
-	// Leaving is told when an upstream's answer says that it is leaving.
+	// Leaving is called when an answer says that its endpoint is leaving.
 	Leaving func(service fleet.Service, endpoint fleet.Endpoint)
 }
 
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -15,13 +15,12 @@
 	"github.com/damaskcove/damaskcove/internal/exchange"
 )
 
-// tracerName names the package's tracer.
 const tracerName = "github.com/damaskcove/damaskcove/internal/dispatch"
 
-// traceKey is the key of the W3C trace context.
+// traceKey is the propagator's key of the W3C trace context.
 const traceKey = "traceparent"
 
-// startSpan starts the client span of one attempt, under ctx's span or else the caller's.
+// startSpan starts the client span of one attempt. Its parent is ctx's span, or the caller's if ctx has none.
 func startSpan(ctx context.Context, service fleet.Service, r *exchange.Request, e routing.Dispatch) (context.Context, trace.Span) {
 	if !trace.SpanContextFromContext(ctx).IsValid() && r.TraceParent != "" {
 		carrier := propagation.MapCarrier{traceKey: r.TraceParent}
@@ -39,19 +38,18 @@
 		))
 }
 
-// endSpan ends the span of one attempt.
 func endSpan(span trace.Span, o outcome) {
 	span.SetAttributes(
 		attribute.Int("http.response.status_code", o.answer.Status),
 		attribute.Int("damaskcove.code", int(o.answer.Code)),
 	)
-	if o.answer.Code != result.CodeAnswered || o.blames {
+	if o.answer.Code != result.CodeAnswered || o.endpointFailed {
 		span.SetStatus(codes.Error, codeCounter(o.answer.Code))
 	}
 	span.End()
 }
 
-// traceParent returns the trace context to pass on; empty when there is none.
+// traceParent returns the trace context to send to the upstream, or "" if there is none.
 func traceParent(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
--- a/internal/dispatch/upstream_test.go
+++ b/internal/dispatch/upstream_test.go
@@ -106,7 +106,7 @@
 	return func(conn net.Conn, _ int, _ *http.Request) { _, _ = io.WriteString(conn, text) }
 }
 
-// ok is a whole answer with the given body.
+// ok returns a complete answer with the given body.
 func ok(body string) string {
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
@@ -118,7 +118,7 @@
 	return itoa(n/10) + itoa(n%10)
 }
 
-// recorder keeps what the hooks were told.
+// recorder records the calls of the hooks.
 type recorder struct {
 	leaving  chan fleet.Endpoint
 	observed chan health.Attempt
@@ -135,7 +135,7 @@
 	}
 }
 
-// targetsOf returns open targets with the given limit.
+// targetsOf returns available targets with the given limit.
 func targetsOf(limit int, endpoints ...fleet.Endpoint) []routing.Target {
 	var targets []routing.Target
 	for _, e := range endpoints {
@@ -170,7 +170,7 @@
 	}
 }
 
-func order(body string) exchange.Request {
+func post(body string) exchange.Request {
 	r := get("/orders")
 	r.Method = http.MethodPost
 	r.Idempotent = false
