--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,12 +1,12 @@
-// Package entry is the side of an instance that callers see: HTTP, discovery and the
-// look-up of outcomes.
+// Package entry is the HTTP server for callers: it routes their requests and answers
+// discovery and outcome lookups.
 //
 // Guarantees:
-//   - Every answer carries a numbered result code and says whether the request ran.
-//   - Method, path, query, body and end-to-end headers reach the upstream as sent;
-//     hop-by-hop headers do not pass in either direction.
-//   - A body over the bound is refused with 413 before anything is sent.
-//   - A request whose caller closes its connection is cancelled soon after.
-//   - While the instance stops, answers carry "Connection: close"; a request that
-//     was accepted is answered before the listener closes.
+//   - Every answer carries a numeric result code and says whether the request was executed.
+//   - Method, path, query, body and end-to-end headers are forwarded unchanged; hop-by-hop
+//     headers are not forwarded in either direction.
+//   - A body over the size limit is refused with 413 before anything is sent upstream.
+//   - A request is cancelled soon after its caller closes the connection.
+//   - While the instance drains, answers carry "Connection: close"; every accepted request
+//     is answered before the listener closes.
 package entry
--- a/internal/entry/message.go
+++ b/internal/entry/http.go
@@ -14,24 +14,25 @@
 	"github.com/damaskcove/damaskcove/internal/tracing"
 )
 
-// headerLength is the length header in lower case; the HTTP library sets it.
-const headerLength = "content-length"
+// headerContentLength is the lower-case name of the length header, which fasthttp sets itself.
+const headerContentLength = "content-length"
 
-// ownHeaders lists, in lower case, the headers of requests that the entry reads for itself.
-var ownHeaders = map[string]bool{
-	headerLength:              true,
+// consumedHeaders lists, in lower case, the request headers that are not forwarded since the
+// server consumes them.
+var consumedHeaders = map[string]bool{
+	headerContentLength:       true,
 	"expect":                  true,
 	tracing.TraceParentHeader: true,
 }
 
-// readRequest copies a caller's request out of the buffers of the HTTP library.
+// readRequest copies a caller's request, since fasthttp reuses its buffers.
 func readRequest(c *fiber.Ctx, now time.Time) exchange.Request {
 	h := &c.Request().Header
 	r := exchange.Request{
 		Service:     fleet.Service(strings.Clone(c.Get(client.HeaderService))),
 		Account:     fleet.Account(strings.Clone(c.Get(client.HeaderAccount))),
 		Method:      strings.Clone(c.Method()),
-		URI:         string(h.RequestURI()), // As sent: the request's own is normalized.
+		URI:         string(h.RequestURI()), // As received; the parsed URI is normalized.
 		Key:         strings.Clone(c.Get(client.HeaderKey)),
 		TraceParent: strings.Clone(c.Get(tracing.TraceParentHeader)),
 		Body:        append([]byte(nil), c.Request().Body()...),
@@ -49,7 +50,7 @@
 	var headers []exchange.Header
 	for key, value := range h.All() {
 		name := strings.ToLower(string(key))
-		if exchange.HopByHop(name) || ownHeaders[name] || listed[name] {
+		if exchange.HopByHop(name) || consumedHeaders[name] || listed[name] {
 			continue
 		}
 		headers = append(headers, exchange.Header{Name: string(key), Value: string(value)})
@@ -57,7 +58,8 @@
 	return headers
 }
 
-// callerDeadline returns the moment until which the caller waits; zero when it says nothing valid.
+// callerDeadline parses the deadline header (milliseconds from now) and returns the zero time
+// if it is absent or invalid.
 func callerDeadline(value string, now time.Time) time.Time {
 	ms, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || ms <= 0 {
@@ -66,7 +68,6 @@
 	return now.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// writeAnswer sends an answer to the caller.
 func writeAnswer(c *fiber.Ctx, a exchange.Answer) error {
 	response := c.Response()
 	response.SetStatusCode(a.Status)
@@ -74,7 +75,7 @@
 	length := -1
 	for _, h := range a.Headers {
 		name := strings.ToLower(h.Name)
-		if name == headerLength {
+		if name == headerContentLength {
 			length = contentLength(h.Value)
 			continue
 		}
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// writeHead answers a HEAD request with the length that the upstream gave.
+// writeHead answers a HEAD request with the upstream's Content-Length.
 func writeHead(c *fiber.Ctx, length int) error {
 	c.Response().SkipBody = true
 	if length >= 0 {
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -9,7 +9,7 @@
 	"github.com/damaskcove/damaskcove/coord/rollout"
 )
 
-// Match is the route that a request takes.
+// Match is the result of routing a request.
 type Match struct {
 	Service  rollout.ServiceTemplate
 	Route    rollout.Route
@@ -23,13 +23,13 @@
 	route   rollout.Route
 }
 
-// Router finds the route of a request. It is immutable.
+// Router finds the routes of requests. It is immutable.
 type Router struct {
 	config   *rollout.Config
 	byPrefix map[string][]candidate
 }
 
-// NewRouter returns the router of a configuration.
+// NewRouter returns a router for the routes of a configuration.
 func NewRouter(config *rollout.Config) *Router {
 	r := &Router{config: config, byPrefix: make(map[string][]candidate)}
 	for name, service := range config.Services {
@@ -46,9 +46,9 @@
 	return r.config
 }
 
-// Find returns the route with the longest prefix of path, by whole segments, that
-// takes the method and whose service the account may call. service narrows the
-// search unless it is empty. The code is CodeAnswered when there is one.
+// Find returns the route with the longest path prefix, by whole segments, that accepts the
+// method and belongs to a service the account may call. A non-empty service restricts the
+// search to that service. The code is CodeAnswered if there is a match.
 func (r *Router) Find(account fleet.Account, service fleet.Service, method, path string) (Match, result.Code) {
 	a, ok := r.config.Accounts[account]
 	if !ok {
@@ -57,7 +57,7 @@
 	code := result.CodeNoRoute
 	for prefix := strings.TrimSuffix(path, "/"); ; prefix = prefix[:strings.LastIndexByte(prefix, '/')] {
 		for _, c := range r.byPrefix[prefix] {
-			if !c.takes(service, method) {
+			if !c.matches(service, method) {
 				continue
 			}
 			if !slices.Contains(a.Services, c.service) {
@@ -73,17 +73,17 @@
 	}
 }
 
-func (c candidate) takes(service fleet.Service, method string) bool {
+func (c candidate) matches(service fleet.Service, method string) bool {
 	if service != "" && c.service != service {
 		return false
 	}
 	return c.route.Method == "" || c.route.Method == method
 }
 
-// encodedDot is a dot as a path may write it, in lower case.
+// encodedDot is a percent-encoded dot, in lower case.
 const encodedDot = "%2e"
 
-// hasDotSegment reports whether a path holds a segment "." or "..", also encoded. An
+// hasDotSegment reports whether a path has a segment "." or "..", plain or encoded. An
 // upstream that resolves it would serve another path than the one that was routed.
 func hasDotSegment(path string) bool {
 	if !strings.Contains(path, ".") && !strings.Contains(path, "%") {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -22,40 +22,40 @@
 	"github.com/damaskcove/damaskcove/internal/tracing"
 )
 
-// Times and sizes of the callers' side.
+// Defaults of Config and of the services' deadlines.
 const (
-	idleTimeout     = 60 * time.Second
-	headerBytes     = 16 << 10
-	defaultDeadline = 5 * time.Second
+	defaultIdleTimeout    = 60 * time.Second
+	defaultMaxHeaderBytes = 16 << 10
+	defaultDeadline       = 5 * time.Second
 )
 
-// Backend is what the entry needs of the instance.
+// Backend executes the requests and answers the lookups that a Server receives.
 type Backend interface {
-	// Router returns the routes in force, or nil before the first configuration.
+	// Router returns the active routes, or nil before the first configuration.
 	Router() *Router
 	// Serve runs a routed request somewhere in the fleet and returns its answer before r.Deadline, or soon after.
 	Serve(ctx context.Context, r exchange.Request) exchange.Answer
-	// Outcome tells what came of an idempotency key.
+	// Outcome returns the outcome of the request with an idempotency key.
 	Outcome(ctx context.Context, key string) exchange.Answer
-	// Discover returns the entries that a caller should use.
+	// Discover returns the entry addresses that a caller should use.
 	Discover(service fleet.Service, account fleet.Account, zone fleet.Zone) (client.Discovery, result.Code)
 }
 
-// Config is what the server needs.
+// Config configures a Server.
 type Config struct {
-	Listen         string // IP number and port.
+	Listen         string // IP address and port.
 	MaxBodyBytes   int
-	MaxInFlight    int64         // Requests without an answer, past which new ones are refused; 0 for no bound.
-	MaxHeaderBytes int           // Of a request's head; 0 for headerBytes.
-	MaxConnections int           // Of callers; 0 for the library's bound.
-	IdleTimeout    time.Duration // Of callers' connections; 0 for idleTimeout.
-	ReadTimeout    time.Duration // Of one request from its first byte; 0 for none.
+	MaxInFlight    int64         // New requests are refused above this many unanswered ones; 0 for no limit.
+	MaxHeaderBytes int           // Largest request head; 0 for defaultMaxHeaderBytes.
+	MaxConnections int           // Of callers; 0 for fasthttp's default.
+	IdleTimeout    time.Duration // Of callers' connections; 0 for defaultIdleTimeout.
+	ReadTimeout    time.Duration // For reading a request, from its first byte; 0 for none.
 	Tracer         trace.Tracer
 	Log            *slog.Logger
-	WrapListener   func(net.Listener) net.Listener // Faults of callers' connections for tests; nil for none.
+	WrapListener   func(net.Listener) net.Listener // Injects connection faults in tests; may be nil.
 }
 
-// Server answers callers.
+// Server is the HTTP server for callers.
 type Server struct {
 	cfg      Config
 	backend  Backend
@@ -63,7 +63,7 @@
 	listener net.Listener
 	draining atomic.Bool
 	inFlight atomic.Int64
-	last     atomic.Int64 // Monotonic nanoseconds since started of the last request's end.
+	lastEnd  atomic.Int64 // End of the last request, in monotonic nanoseconds since started.
 	started  time.Time
 	served   atomic.Int64
 }
@@ -78,10 +78,10 @@
 		listener = cfg.WrapListener(listener)
 	}
 	if cfg.MaxHeaderBytes == 0 {
-		cfg.MaxHeaderBytes = headerBytes
+		cfg.MaxHeaderBytes = defaultMaxHeaderBytes
 	}
 	if cfg.IdleTimeout == 0 {
-		cfg.IdleTimeout = idleTimeout
+		cfg.IdleTimeout = defaultIdleTimeout
 	}
 	s := &Server{cfg: cfg, backend: backend, listener: listener, started: time.Now()}
 	s.app = fiber.New(fiber.Config{
@@ -91,7 +91,7 @@
 		Concurrency:                  cfg.MaxConnections,
 		IdleTimeout:                  cfg.IdleTimeout,
 		ReadTimeout:                  cfg.ReadTimeout,
-		ErrorHandler:                 s.fail,
+		ErrorHandler:                 s.handleError,
 		DisablePreParseMultipartForm: true,
 	})
 	s.app.Server().NoDefaultServerHeader = true
@@ -102,7 +102,7 @@
 	return s, nil
 }
 
-// Addr returns the address that the server listens on.
+// Addr returns the listening address.
 func (s *Server) Addr() string {
 	return s.listener.Addr().String()
 }
@@ -116,59 +116,60 @@
 	return nil
 }
 
-// Close stops listening. It is for a server that was never run.
+// Close closes the listener of a server that was never run.
 func (s *Server) Close() error {
 	return s.listener.Close()
 }
 
-// InFlight returns the requests that have no answer yet.
+// InFlight returns the number of unanswered requests.
 func (s *Server) InFlight() int64 {
 	return s.inFlight.Load()
 }
 
-// Served returns the requests answered since the start.
+// Served returns the number of requests answered since the start.
 func (s *Server) Served() int64 {
 	return s.served.Load()
 }
 
-// IdleTime returns the time since the last request, or zero while one is in flight.
+// IdleTime returns the time since the last request ended, or zero while one is in flight.
 func (s *Server) IdleTime() time.Duration {
 	if s.inFlight.Load() > 0 {
 		return 0
 	}
-	return time.Since(s.started) - time.Duration(s.last.Load())
+	return time.Since(s.started) - time.Duration(s.lastEnd.Load())
 }
 
-// Drain makes every answer from now on ask its caller to close the connection.
+// Drain adds "Connection: close" to every answer from now on.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 }
 
-// Shutdown closes the listener and the idle connections, and waits for the rest until ctx ends.
+// Shutdown closes the listener and the idle connections, and waits for the other connections
+// until ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return s.app.ShutdownWithContext(ctx)
 }
 
-// begin counts a request in and returns the function that counts it out.
-func (s *Server) begin() func() {
+// trackRequest counts a request as in flight until the returned function is called.
+func (s *Server) trackRequest() func() {
 	s.inFlight.Add(1)
 	return func() {
-		s.last.Store(int64(time.Since(s.started)))
+		s.lastEnd.Store(int64(time.Since(s.started)))
 		s.served.Add(1)
 		s.inFlight.Add(-1)
 	}
 }
 
-func (s *Server) finish(c *fiber.Ctx, a exchange.Answer) error {
+func (s *Server) respond(c *fiber.Ctx, a exchange.Answer) error {
 	if s.draining.Load() {
 		c.Response().SetConnectionClose()
 	}
 	return writeAnswer(c, a)
 }
 
-// proxy serves a caller's request.
+// proxy handles a request for a service.
 func (s *Server) proxy(c *fiber.Ctx) error {
-	defer s.begin()()
+	defer s.trackRequest()()
 	now := time.Now()
 	r := readRequest(c, now)
 	ctx := tracing.Extract(c.UserContext(), r.TraceParent)
@@ -176,9 +177,9 @@
 	defer span.End()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	endWatch := watchCaller(c.Context().Conn(), cancel)
+	stopWatch := watchCaller(c.Context().Conn(), cancel)
 	a := s.serve(ctx, r, now)
-	endWatch()
+	stopWatch()
 	if span.IsRecording() {
 		span.SetAttributes(
 			attribute.String("account", string(r.Account)),
@@ -188,7 +189,7 @@
 			attribute.Int("damaskcove.code", int(a.Code)),
 		)
 	}
-	return s.finish(c, a)
+	return s.respond(c, a)
 }
 
 func (s *Server) serve(ctx context.Context, r exchange.Request, now time.Time) exchange.Answer {
@@ -218,8 +219,9 @@
 	return s.backend.Serve(ctx, r)
 }
 
-// overloadCode returns the code of a request that the instance has no room for. A keyed one gets
-// a code that speaks of the attempt alone: shed-queue-full is said of keys that are sealed.
+// overloadCode returns the result code of a request over MaxInFlight. A request with an
+// idempotency key gets a code about this attempt only, since shed-queue-full would be read
+// as the final outcome of a sealed key.
 func overloadCode(r exchange.Request) result.Code {
 	if r.Key != "" {
 		return result.CodeAttemptNotRun
@@ -234,7 +236,7 @@
 	return configured
 }
 
-// earliest returns the earlier of two moments; a zero caller moment does not count.
+// earliest returns the earlier of two deadlines; a zero caller deadline means none.
 func earliest(caller, service time.Time) time.Time {
 	if caller.IsZero() || service.Before(caller) {
 		return service
@@ -247,24 +249,24 @@
 	return path
 }
 
-// outcome tells what came of a key.
+// outcome handles the lookup of an idempotency key's outcome.
 func (s *Server) outcome(c *fiber.Ctx) error {
-	defer s.begin()()
+	defer s.trackRequest()()
 	key := strings.Clone(c.Get(client.HeaderKey))
 	ctx, cancel := context.WithTimeout(c.UserContext(), defaultDeadline)
 	defer cancel()
-	return s.finish(c, s.backend.Outcome(ctx, key))
+	return s.respond(c, s.backend.Outcome(ctx, key))
 }
 
-// discover tells a caller which entries to use.
+// discover handles a caller's discovery request.
 func (s *Server) discover(c *fiber.Ctx) error {
-	defer s.begin()()
+	defer s.trackRequest()()
 	service := fleet.Service(strings.Clone(c.Query(client.ParamService)))
 	account := fleet.Account(strings.Clone(c.Query(client.ParamAccount)))
 	zone := fleet.Zone(strings.Clone(c.Query(client.ParamZone)))
 	d, code := s.backend.Discover(service, account, zone)
 	if code != result.CodeAnswered {
-		return s.finish(c, exchange.Refusal(code, fmt.Sprintf("service %q, account %q", service, account)))
+		return s.respond(c, exchange.Refusal(code, fmt.Sprintf("service %q, account %q", service, account)))
 	}
 	if s.draining.Load() {
 		c.Response().SetConnectionClose()
@@ -272,8 +274,8 @@
 	return c.JSON(d)
 }
 
-// fail answers what the HTTP library refused before a handler ran.
-func (s *Server) fail(c *fiber.Ctx, err error) error {
+// handleError answers requests that fasthttp rejected before a handler ran.
+func (s *Server) handleError(c *fiber.Ctx, err error) error {
 	code := result.CodeMalformedRequest
 	var fiberError *fiber.Error
 	if errors.As(err, &fiberError) && fiberError.Code == fasthttp.StatusRequestEntityTooLarge {
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -23,17 +23,17 @@
 	"github.com/damaskcove/damaskcove/internal/exchange"
 )
 
-// echoBackend answers with what it was asked.
-type echoBackend struct {
+// fakeBackend records the last request and returns a fixed answer.
+type fakeBackend struct {
 	router *Router
 	last   exchange.Request
 	answer exchange.Answer
 	serve  func(ctx context.Context) // Runs before the answer; may be nil.
 }
 
-func (b *echoBackend) Router() *Router { return b.router }
+func (b *fakeBackend) Router() *Router { return b.router }
 
-func (b *echoBackend) Serve(ctx context.Context, r exchange.Request) exchange.Answer {
+func (b *fakeBackend) Serve(ctx context.Context, r exchange.Request) exchange.Answer {
 	b.last = r
 	if b.serve != nil {
 		b.serve(ctx)
@@ -41,11 +41,11 @@
 	return b.answer
 }
 
-func (b *echoBackend) Outcome(_ context.Context, key string) exchange.Answer {
+func (b *fakeBackend) Outcome(_ context.Context, key string) exchange.Answer {
 	return exchange.Refusal(result.CodeKeyUnknown, key)
 }
 
-func (b *echoBackend) Discover(service fleet.Service, _ fleet.Account, _ fleet.Zone) (client.Discovery, result.Code) {
+func (b *fakeBackend) Discover(service fleet.Service, _ fleet.Account, _ fleet.Zone) (client.Discovery, result.Code) {
 	if service != "stock" {
 		return client.Discovery{}, result.CodeNoRoute
 	}
@@ -69,9 +69,9 @@
 	}
 }
 
-func startServer(t *testing.T) (*Server, *echoBackend, string) {
+func startServer(t *testing.T) (*Server, *fakeBackend, string) {
 	t.Helper()
-	b := &echoBackend{router: NewRouter(testConfig())}
+	b := &fakeBackend{router: NewRouter(testConfig())}
 	b.answer = exchange.Answer{Status: 200, Body: []byte("whole"), Code: result.CodeAnswered, Execution: result.Ran}
 	s, err := New(Config{
 		Listen: "127.0.0.1:0", MaxBodyBytes: 100,
@@ -119,7 +119,7 @@
 	return response, string(data)
 }
 
-func TestCodesOfRefusedRequests(t *testing.T) {
+func TestResultCodesOfRefusedRequests(t *testing.T) {
 	_, _, base := startServer(t)
 	cases := []struct {
 		name, method, path string
@@ -134,8 +134,8 @@
 		{"method without route", "DELETE", "/stock/1", 0, "brewer", 404, "1001"},
 		{"prefix is by whole segments", "GET", "/stocks", 0, "brewer", 404, "1001"},
 		{"dot segments", "GET", "/stock/%2E%2e/drums", 0, "brewer", 400, "1005"},
-		{"body over the service's bound", "POST", "/stock/notes", 11, "brewer", 413, "1004"},
-		{"body over the instance's bound", "POST", "/stock/notes", 101, "brewer", 413, "1004"},
+		{"body over the limit of the service", "POST", "/stock/notes", 11, "brewer", 413, "1004"},
+		{"body over the limit of the instance", "POST", "/stock/notes", 101, "brewer", 413, "1004"},
 		{"outcome of an unknown key", "GET", client.OutcomePath, 0, "brewer", 404, "1112"},
 		{"discovery of an unknown service", "GET", client.DiscoverPath + "?service=none", 0, "brewer", 404, "1001"},
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestRefusedBodyOfAKeyedRequestSaysNothingOfOtherAttempts(t *testing.T) {
+func TestRefusedBodyOfKeyedRequestLeavesExecutionUnknown(t *testing.T) {
 	_, _, base := startServer(t)
 	for _, size := range []int{11, 101} {
 		response, _ := call(t, "POST", base+"/stock/notes", make([]byte, size), map[string]string{client.HeaderKey: "ticket.unique"})
@@ -157,39 +157,39 @@
 	}
 }
 
-func TestRequestPassesWholeWithoutHopByHopHeaders(t *testing.T) {
+func TestRequestIsForwardedWithoutHopByHopHeaders(t *testing.T) {
 	_, b, base := startServer(t)
 	call(t, "POST", base+"/stock/notes/a%2Fb//c?lot=7&q=a%20b", []byte("0123456789"), map[string]string{
 		"Connection": "X-Private", "X-Private": "1", "X-Kept": "2", "Te": "trailers", client.HeaderDeadline: "1500",
 	})
 	if b.last.URI != "/stock/notes/a%2Fb//c?lot=7&q=a%20b" || string(b.last.Body) != "0123456789" || b.last.Method != "POST" {
-		t.Errorf("request passed on as %s %q with body %q", b.last.Method, b.last.URI, b.last.Body)
+		t.Errorf("request forwarded as %s %q with body %q", b.last.Method, b.last.URI, b.last.Body)
 	}
 	names := map[string]string{}
 	for _, h := range b.last.Headers {
 		names[strings.ToLower(h.Name)] = h.Value
 	}
 	if names["x-kept"] != "2" {
-		t.Errorf("header X-Kept did not pass: %v", names)
+		t.Errorf("header X-Kept was not forwarded: %v", names)
 	}
 	for _, dropped := range []string{"connection", "x-private", "te", "content-length"} {
 		if _, ok := names[dropped]; ok {
-			t.Errorf("header %s passed", dropped)
+			t.Errorf("header %s was forwarded", dropped)
 		}
 	}
 }
 
-func TestAnswersPassAsTheUpstreamGaveThem(t *testing.T) {
+func TestAnswerIsForwardedUnchanged(t *testing.T) {
 	_, b, base := startServer(t)
 	b.answer = exchange.Answer{Status: 302, Code: result.CodeAnswered, Execution: result.Ran, Headers: []exchange.Header{
 		{Name: "Location", Value: "/elsewhere"}, {Name: "Set-Cookie", Value: "a=1"}, {Name: "Set-Cookie", Value: "b=2"},
 	}}
 	response, _ := call(t, "GET", base+"/stock/1", nil, nil)
 	if response.StatusCode != 302 || response.Header.Get("Location") != "/elsewhere" {
-		t.Errorf("redirect passed as %d to %q", response.StatusCode, response.Header.Get("Location"))
+		t.Errorf("redirect forwarded as %d to %q", response.StatusCode, response.Header.Get("Location"))
 	}
 	if cookies := response.Header.Values("Set-Cookie"); len(cookies) != 2 {
-		t.Errorf("repeated header passed as %v", cookies)
+		t.Errorf("repeated header forwarded as %v", cookies)
 	}
 	if response.Header.Get(client.HeaderExecution) != "ran" {
 		t.Errorf("execution %q, want ran", response.Header.Get(client.HeaderExecution))
@@ -198,16 +198,16 @@
 		Headers: []exchange.Header{{Name: "Content-Length", Value: "1234"}}}
 	response, body := call(t, "HEAD", base+"/stock/1", nil, nil)
 	if response.ContentLength != 1234 || body != "" {
-		t.Errorf("HEAD passed with length %d and body %q, want 1234 and none", response.ContentLength, body)
+		t.Errorf("HEAD answered with length %d and body %q, want 1234 and none", response.ContentLength, body)
 	}
 }
 
-func TestDrainingServerAsksCallersToClose(t *testing.T) {
+func TestDrainingServerClosesConnections(t *testing.T) {
 	s, _, base := startServer(t)
 	s.Drain()
 	response, body := call(t, "GET", base+"/stock/1", nil, nil)
 	if !response.Close || body != "whole" {
-		t.Errorf("close %v body %q, want the whole answer and a close", response.Close, body)
+		t.Errorf("close %v body %q, want the complete answer and Connection: close", response.Close, body)
 	}
 }
 
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestDiscoveryAnswersJSON(t *testing.T) {
+func TestDiscoveryReturnsJSON(t *testing.T) {
 	_, _, base := startServer(t)
 	_, body := call(t, "GET", base+client.DiscoverPath+"?service=stock&account=brewer", nil, nil)
 	var d client.Discovery
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestCallerThatClosesItsConnectionEndsItsRequest(t *testing.T) {
+func TestRequestIsCancelledWhenCallerDisconnects(t *testing.T) {
 	_, b, base := startServer(t)
 	running := make(chan struct{})
 	ended := make(chan error, 1)
@@ -253,6 +253,6 @@
 			t.Errorf("the request ended with %v, want %v", err, context.Canceled)
 		}
 	case <-time.After(50 * time.Second): // Before the request's own deadline of a minute.
-		t.Error("the request goes on after its caller has closed the connection")
+		t.Error("the request still runs after its caller closed the connection")
 	}
 }
