--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -21,15 +21,15 @@
 	"github.com/damaskcove/damaskcove/internal/tracing"
 )
 
-// maxRelayTries bounds the carriers that a request is passed to, one after another.
+// maxRelayTries limits the carriers to which a request is relayed, one after another.
 const maxRelayTries = 3
 
-// Router returns the routes in force, or nil before the first configuration.
+// Router returns the active routes, or nil before the first configuration.
 func (n *Node) Router() *entry.Router {
 	return n.router.Load()
 }
 
-// Serve runs a routed request somewhere in the fleet.
+// Serve runs a routed request, here or on another instance.
 func (n *Node) Serve(ctx context.Context, r exchange.Request) exchange.Answer {
 	if r.Key != "" && !r.Idempotent {
 		return n.claims.Do(ctx, r)
@@ -38,10 +38,11 @@
 	if len(carriers) == 0 || contains(carriers, n.self.Ref) {
 		return n.dispatcher.Execute(ctx, r)
 	}
-	return n.pass(ctx, r, carriers)
+	return n.relayRequest(ctx, r, carriers)
 }
 
-// carriers returns the instances that route to a service and take work, nearest first.
+// carriers returns the carriers of a service in order of rank: the instances accepting
+// requests that send this service's requests to upstreams.
 func (n *Node) carriers(s fleet.Service) []fleet.Instance {
 	m := n.members.Snapshot().Map
 	if m == nil {
@@ -55,19 +56,19 @@
 	return slices.ContainsFunc(instances, func(in fleet.Instance) bool { return in.Ref == ref })
 }
 
-// pass relays a request to a carrier. Another carrier is tried when the request did
-// not leave, or when it may be repeated.
-func (n *Node) pass(ctx context.Context, r exchange.Request, carriers []fleet.Instance) exchange.Answer {
+// relayRequest relays a request to a carrier. It tries the next carrier if the request was
+// not sent or is idempotent.
+func (n *Node) relayRequest(ctx context.Context, r exchange.Request, carriers []fleet.Instance) exchange.Answer {
 	ctx, span := n.opts.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	r.TraceParent = tracing.Inject(ctx, r.TraceParent)
 	answer := exchange.Refusal(result.CodeNoEndpoint, fmt.Sprintf("no carrier of service %q can be reached", r.Service))
-	for i, to := range nearestFirst(carriers, n.self.Zone) {
+	for i, to := range localFirst(carriers, n.self.Zone) {
 		if i == maxRelayTries {
 			return answer
 		}
 		span.SetAttributes(attribute.String("instance", to.Ref.String()))
-		got, err := n.callOnce(ctx, to, r, i)
+		got, err := n.relayOnce(ctx, to, r, i)
 		if err == nil {
 			return got
 		}
@@ -82,8 +83,9 @@
 	return answer
 }
 
-// callOnce passes a request to one carrier. A request that may be repeated leaves time for the tries after it.
-func (n *Node) callOnce(ctx context.Context, to fleet.Instance, r exchange.Request, try int) (exchange.Answer, error) {
+// relayOnce relays a request to one carrier. For an idempotent request, each try but the last
+// gets half of the remaining time, so that time is left for the next ones.
+func (n *Node) relayOnce(ctx context.Context, to fleet.Instance, r exchange.Request, try int) (exchange.Answer, error) {
 	if r.Idempotent && try < maxRelayTries-1 {
 		limited, cancel := context.WithTimeout(ctx, time.Until(r.Deadline)/2)
 		defer cancel()
@@ -92,20 +94,20 @@
 	return n.calls.Call(ctx, to.Ref, claim.RoleNone, r)
 }
 
-// nearestFirst returns the instances of a zone before the others, both in their order.
-func nearestFirst(instances []fleet.Instance, zone fleet.Zone) []fleet.Instance {
-	var near, far []fleet.Instance
+// localFirst returns the instances of a zone before the others and keeps the order of both.
+func localFirst(instances []fleet.Instance, zone fleet.Zone) []fleet.Instance {
+	var local, remote []fleet.Instance
 	for _, in := range instances {
 		if in.Zone == zone {
-			near = append(near, in)
+			local = append(local, in)
 		} else {
-			far = append(far, in)
+			remote = append(remote, in)
 		}
 	}
-	return append(near, far...)
+	return append(local, remote...)
 }
 
-// Relayed runs a request that another instance passed on.
+// Relayed runs a request that another instance relayed.
 func (n *Node) Relayed(ctx context.Context, from fleet.Ref, role claim.Role, r exchange.Request) exchange.Answer {
 	ctx = tracing.Extract(ctx, r.TraceParent)
 	ctx, span := n.opts.Tracer.Start(ctx, "relayed", trace.WithSpanKind(trace.SpanKindServer))
@@ -117,48 +119,49 @@
 	return n.claims.Relayed(ctx, from, role, r)
 }
 
-// Outcome tells what came of an idempotency key.
+// Outcome returns the outcome of the request with an idempotency key.
 func (n *Node) Outcome(ctx context.Context, key string) exchange.Answer {
 	return n.claims.Lookup(ctx, key)
 }
 
-// Discover returns the entries that a caller should use, with a ticket for its keys.
+// Discover returns the entry addresses that a caller should use, and a ticket for its
+// idempotency keys.
 func (n *Node) Discover(service fleet.Service, account fleet.Account, zone fleet.Zone) (client.Discovery, result.Code) {
 	router := n.router.Load()
 	m := n.members.Snapshot().Map
 	if router == nil || m == nil || m.Len() == 0 {
 		return client.Discovery{}, result.CodeNotReady
 	}
-	if code := known(router, service, account); code != result.CodeAnswered {
+	if code := checkAccess(router, service, account); code != result.CodeAnswered {
 		return client.Discovery{}, code
 	}
 	f := n.opts.Settings.Fleet
 	d := client.Discovery{MaxAgeMS: f.DiscoveryMaxAge.Milliseconds(), Revision: router.Config().Revision}
-	m = n.avoidFailing(m, service, account, zone)
+	m = n.excludeFailing(m, service, account, zone)
 	for _, in := range m.Entries(service, account, zone, f.CarriersPerService, f.EntriesPerAnswer) {
 		d.Entries = append(d.Entries, client.Entry{Address: in.EntryAddr, Zone: in.Zone})
 	}
-	d.Ticket = n.issue(m, service, account, zone)
+	d.Ticket = n.issueTicket(m, service, account, zone)
 	return d, result.CodeAnswered
 }
 
-// avoidFailing returns the map that discovery uses. When the link from here to an
-// instance that it would name fails, the instances with failing links are left out:
-// the roster learns of a dead instance seconds later than its neighbours.
-func (n *Node) avoidFailing(m *placement.Map, service fleet.Service, account fleet.Account, zone fleet.Zone) *placement.Map {
+// excludeFailing returns the map that discovery uses. If the link from this instance to one
+// that the answer would name is failing, all instances with failing links are left out: the
+// roster drops a dead instance seconds after its peers notice the failure.
+func (n *Node) excludeFailing(m *placement.Map, service fleet.Service, account fleet.Account, zone fleet.Zone) *placement.Map {
 	f := n.opts.Settings.Fleet
 	named := m.Entries(service, account, zone, f.CarriersPerService, f.EntriesPerAnswer)
 	home, witness, _ := m.HomeAndWitnessNear(service, account, zone, f.CarriersPerService)
 	if !n.anyFailing(named) && !n.anyFailing([]fleet.Instance{home, witness}) {
 		return m
 	}
-	var working []fleet.Instance
+	var reachable []fleet.Instance
 	for _, in := range m.Instances() {
 		if in.Ref == n.self.Ref || !n.links.Failing(in.Ref) {
-			working = append(working, in)
+			reachable = append(reachable, in)
 		}
 	}
-	return placement.NewMap(working)
+	return placement.NewMap(reachable)
 }
 
 func (n *Node) anyFailing(instances []fleet.Instance) bool {
@@ -170,7 +173,7 @@
 	return false
 }
 
-func known(router *entry.Router, service fleet.Service, account fleet.Account) result.Code {
+func checkAccess(router *entry.Router, service fleet.Service, account fleet.Account) result.Code {
 	c := router.Config()
 	if _, ok := c.Services[service]; !ok {
 		return result.CodeNoRoute
@@ -185,8 +188,8 @@
 	return result.CodeAnswered
 }
 
-// issue returns the text of a new ticket, or nothing when no instance can be its home.
-func (n *Node) issue(m *placement.Map, service fleet.Service, account fleet.Account, zone fleet.Zone) string {
+// issueTicket returns an encoded new ticket, or "" if no instance can be its home.
+func (n *Node) issueTicket(m *placement.Map, service fleet.Service, account fleet.Account, zone fleet.Zone) string {
 	s := n.opts.Settings
 	home, witness, ok := m.HomeAndWitnessNear(service, account, zone, s.Fleet.CarriersPerService)
 	if !ok {
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,9 +1,9 @@
-// Package node puts one entry instance together: it listens, joins the fleet, drives
-// the duties on one control goroutine, serves callers, and makes the planned stop.
+// Package node assembles an entry instance: it listens, joins the fleet, runs the control
+// duties on a single goroutine, serves callers, and performs the planned stop.
 //
 // Guarantees:
-//   - No request is served before a configuration is in force.
+//   - No request is served before a configuration is active.
 //   - Run returns only after a planned stop, or with the error that ended the instance.
-//   - A planned stop answers every request that the instance has accepted, within
-//     the time that the settings allow.
+//   - A planned stop answers every request that the instance has accepted, within the
+//     stop timeout of the settings.
 package node
--- a/internal/node/provision.go
+++ b/internal/node/duties.go
@@ -26,15 +26,15 @@
 	"github.com/damaskcove/damaskcove/internal/storekeys"
 )
 
-// provision makes the duties and adds them to the control loop.
-func (n *Node) provision(ctx context.Context) error {
+// createDuties creates the duties and adds them to the control loop.
+func (n *Node) createDuties(ctx context.Context) error {
 	s := n.opts.Settings
 	keyring, err := newKeyring(s.Tickets.Keys)
 	if err != nil {
 		return err
 	}
 	keys := storekeys.Keys{Fleet: s.Instance.Fleet}
-	n.loop = control.NewLoop(n.refuse)
+	n.loop = control.NewLoop(n.rejectMessage)
 	n.calls = relay.NewCalls(n.links, n)
 	n.budget = storecall.NewBudget(time.Now)
 	n.members = members.New(ctx, members.Options{
@@ -67,10 +67,10 @@
 	n.listing = listing.New(listing.Options{
 		List:     metastore.CountedList(n.opts.List, func(op string) { storecall.Calls.Add("listing."+op, 1) }),
 		Sender:   n.links,
-		Watcher:  n.watches,
+		Watcher:  n.isWatcher,
 		Peers:    n.zonePeers,
 		Post:     n.loop.Post,
-		OnChange: n.takeListing,
+		OnChange: n.applyListing,
 		Random:   n.random(3),
 	})
 	n.endpoints = endpoints.NewDuty(endpoints.Options{
@@ -87,7 +87,7 @@
 		IdleTimeout:    s.Limits.UpstreamIdle,
 		SourceIP:       s.Listen.Outgoing,
 		Seed:           n.opts.Seed,
-	}, dispatch.Hooks{Observe: n.endpoints.Observe, Leaving: n.upstreamLeaving})
+	}, dispatch.Hooks{Observe: n.endpoints.Observe, Leaving: n.onUpstreamLeaving})
 	n.claims = claims.New(claims.Options{
 		Fleet:    s.Instance.Fleet,
 		Self:     n.self,
@@ -107,12 +107,13 @@
 	return nil
 }
 
-// random returns a source of its own for one duty.
+// random returns an independent random source for one duty.
 func (n *Node) random(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(n.opts.Seed, stream))
 }
 
-// newKeyring returns the ring of the ticket keys, whose numbers are hashes of their names.
+// newKeyring returns the keyring of the ticket keys. The numeric ID of a key is a hash of its
+// configured ID.
 func newKeyring(keys []settings.TicketKey) (*claim.Keyring, error) {
 	var signing []claim.SigningKey
 	for _, k := range keys {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -15,85 +15,84 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// deliver hands a peer's message to the relays or to the control goroutine.
+// deliver passes a peer's message to the relayed calls or to the control goroutine.
 func (n *Node) deliver(from fleet.Ref, e wire.Envelope) {
 	if !relay.Takes(e.Kind) {
 		n.loop.Deliver(from, e)
 		return
 	}
 	if err := n.calls.Deliver(context.Background(), from, e); err != nil {
-		n.refuse(from, e.Kind, err)
+		n.rejectMessage(from, e.Kind, err)
 	}
 }
 
-// carriersOf is the placement that the health duty needs: carriers by the roster's
-// generation alone, the judge by what this instance takes to be alive.
-type carriersOf struct {
-	roster *placement.Map
-	alive  *placement.Map
-	lives  map[fleet.InstanceID]fleet.Incarnation // Of the roster.
+// placementView is the placement for the endpoints duty. Carriers follow from the roster's
+// generation alone; the evaluator is chosen among the instances considered alive here.
+type placementView struct {
+	roster       *placement.Map
+	alive        *placement.Map
+	incarnations map[fleet.InstanceID]fleet.Incarnation // Of the roster.
 }
 
-func (c carriersOf) Carriers(s fleet.Service, count int) []fleet.Instance {
-	return c.roster.Carriers(s, count)
+func (v placementView) Carriers(s fleet.Service, count int) []fleet.Instance {
+	return v.roster.Carriers(s, count)
 }
 
-func (c carriersOf) Judge(s fleet.Service) (fleet.Instance, bool) {
-	return c.alive.Evaluator(s)
+func (v placementView) Judge(s fleet.Service) (fleet.Instance, bool) {
+	return v.alive.Evaluator(s)
 }
 
-func (c carriersOf) Life(id fleet.InstanceID) (fleet.Incarnation, bool) {
-	life, ok := c.lives[id]
-	return life, ok
+func (v placementView) Life(id fleet.InstanceID) (fleet.Incarnation, bool) {
+	incarnation, ok := v.incarnations[id]
+	return incarnation, ok
 }
 
-// livesOf returns the incarnation of each instance of a roster.
-func livesOf(instances []fleet.Instance) map[fleet.InstanceID]fleet.Incarnation {
-	lives := make(map[fleet.InstanceID]fleet.Incarnation, len(instances))
+func incarnationsOf(instances []fleet.Instance) map[fleet.InstanceID]fleet.Incarnation {
+	incarnations := make(map[fleet.InstanceID]fleet.Incarnation, len(instances))
 	for _, in := range instances {
-		lives[in.Ref.ID] = in.Ref.Incarnation
+		incarnations[in.Ref.ID] = in.Ref.Incarnation
 	}
-	return lives
+	return incarnations
 }
 
 // membersChanged runs on the control goroutine.
 func (n *Node) membersChanged(now time.Time, s *members.Snapshot) {
 	n.budget.SetFleetSize(len(s.Roster.Instances))
-	p := carriersOf{roster: placement.NewMap(s.Roster.Instances), alive: s.Map, lives: livesOf(s.Roster.Instances)}
+	p := placementView{roster: placement.NewMap(s.Roster.Instances), alive: s.Map, incarnations: incarnationsOf(s.Roster.Instances)}
 	n.endpoints.SetFleet(now, s.Roster.Generation, p, s.Self)
 }
 
-// maxVia bounds the instances that are asked to pass a message on.
-const maxVia = 4
+// maxForwarders limits the instances of other zones that forwarders returns.
+const maxForwarders = 4
 
-// via returns instances that may pass a message on to another, those of other zones
-// than this one's first; none when the receiver is not believed alive.
-func (n *Node) via(to fleet.Ref) []fleet.Ref {
+// forwarders returns instances that may forward a message to another instance, those of other
+// zones first and starting at a random one; none if the receiver is not considered alive.
+func (n *Node) forwarders(to fleet.Ref) []fleet.Ref {
 	m := n.members.Snapshot().Map
 	if m == nil || !contains(m.Instances(), to) {
 		return nil
 	}
 	instances := m.Instances()
 	start := rand.IntN(len(instances))
-	var far, near []fleet.Ref
+	var remote, local []fleet.Ref
 	for i := range instances {
 		in := instances[(start+i)%len(instances)]
 		switch {
 		case in.Ref == to || in.Ref == n.self.Ref:
 		case in.Zone != n.self.Zone:
-			far = append(far, in.Ref)
+			remote = append(remote, in.Ref)
 		default:
-			near = append(near, in.Ref)
+			local = append(local, in.Ref)
 		}
-		if len(far) >= maxVia {
+		if len(remote) >= maxForwarders {
 			break
 		}
 	}
-	return append(far, near...)
+	return append(remote, local...)
 }
 
-// watches reports whether this instance reads the platform's list for its zone.
-func (n *Node) watches() bool {
+// isWatcher reports whether this instance reads the platform's list for its zone.
+func (n *Node) isWatcher() bool {
 	m := n.members.Snapshot().Map
 	if m == nil {
 		return false
@@ -101,7 +100,7 @@
 	return contains(m.Watchers(n.self.Zone, n.opts.Settings.Fleet.WatchersPerZone), n.self.Ref)
 }
 
-// zonePeers returns the other instances of this one's zone.
+// zonePeers returns the other instances in this instance's zone.
 func (n *Node) zonePeers() []fleet.Ref {
 	m := n.members.Snapshot().Map
 	if m == nil {
@@ -120,7 +119,7 @@
 func (n *Node) configApplied(now time.Time, c *rollout.Config) {
 	n.router.Store(entry.NewRouter(c))
 	n.appliedAt.Store(&now)
-	n.weights = weightsOf(c)
+	n.weights = accountWeights(c)
 	n.endpoints.SetConfig(now, c)
 }
 
@@ -137,24 +136,24 @@
 	}
 }
 
-// weightsOf returns, for each service, the shares of its accounts whose share is not one.
-func weightsOf(c *rollout.Config) map[fleet.Service]map[fleet.Account]int {
-	shares := make(map[fleet.Service]map[fleet.Account]int)
+// accountWeights returns, for each service, the weights of the accounts with a weight above one.
+func accountWeights(c *rollout.Config) map[fleet.Service]map[fleet.Account]int {
+	weights := make(map[fleet.Service]map[fleet.Account]int)
 	for name, a := range c.Accounts {
 		if a.Weight <= 1 {
 			continue
 		}
 		for _, service := range a.Services {
-			if shares[service] == nil {
-				shares[service] = make(map[fleet.Account]int)
+			if weights[service] == nil {
+				weights[service] = make(map[fleet.Account]int)
 			}
-			shares[service][name] = a.Weight
+			weights[service][name] = a.Weight
 		}
 	}
-	return shares
+	return weights
 }
 
-// upstreamLeaving takes an upstream's own word that it leaves.
-func (n *Node) upstreamLeaving(service fleet.Service, endpoint fleet.Endpoint) {
+// onUpstreamLeaving handles an endpoint's own report that it is leaving.
+func (n *Node) onUpstreamLeaving(service fleet.Service, endpoint fleet.Endpoint) {
 	n.loop.Post(func(now time.Time) { n.endpoints.Leaving(now, service, endpoint) })
 }
--- a/internal/node/incarnations.go
+++ b/internal/node/incarnations.go
@@ -8,36 +8,36 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// RunIncarnations runs one life of an instance after another: the next begins when the fleet
-// took the last for dead. It returns what ended the last one, nil after a planned stop.
-// started is told of each life before it runs.
-func RunIncarnations(ctx context.Context, o Options, started func(*Node)) error {
+// RunIncarnations runs the instance, and runs it again with a new incarnation each time the
+// fleet has declared it dead. It returns the error that ended the last incarnation, nil after
+// a planned stop. onStart is called with each incarnation before it runs.
+func RunIncarnations(ctx context.Context, o Options, onStart func(*Node)) error {
 	var last uint64
 	for {
 		last = nextIncarnation(last, time.Now())
 		o.Incarnation = fleet.Incarnation(last)
-		err := runLife(ctx, o, started)
+		err := runIncarnation(ctx, o, onStart)
 		if !errors.Is(err, ErrRejoin) {
 			return err
 		}
-		o.Log.Warn("instance starts again as another life", "error", err.Error())
+		o.Log.Warn("instance was removed from the roster; restarting with a new incarnation", "error", err.Error())
 	}
 }
 
-// runLife runs one life. Its calls of the platform end with it, and not with ctx, since a
-// planned stop needs them.
-func runLife(ctx context.Context, o Options, started func(*Node)) error {
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	n, err := New(life, o)
+// runIncarnation runs one incarnation. Its calls to the platform end with it and not with
+// ctx, since a planned stop needs them.
+func runIncarnation(ctx context.Context, o Options, onStart func(*Node)) error {
+	lifetime, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	n, err := New(lifetime, o)
 	if err != nil {
 		return err
 	}
-	started(n)
+	onStart(n)
 	return n.Run(ctx)
 }
 
-// nextIncarnation returns a number above last, from the wall clock where it is ahead.
+// nextIncarnation returns the wall clock's Unix milliseconds, or last+1 if that is larger.
 func nextIncarnation(last uint64, now time.Time) uint64 {
 	return max(last+1, uint64(max(now.UnixMilli(), 0)))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,29 +31,29 @@
 )
 
 var (
-	// ErrRejoin says that the fleet took the instance for dead; it must start again as another life.
-	ErrRejoin = errors.New("instance was taken off the roster")
-	// ErrKilled says that Kill ended the instance.
+	// ErrRejoin reports that the fleet declared the instance dead. It must rejoin with a new incarnation.
+	ErrRejoin = errors.New("instance was removed from the roster")
+	// ErrKilled reports that Kill ended the instance.
 	ErrKilled = errors.New("instance was killed")
-	// ErrSuperseded says that another process runs with the instance's ID.
-	ErrSuperseded = errors.New("another process has the instance's ID")
+	// ErrSuperseded reports that another process runs with the instance's ID.
+	ErrSuperseded = errors.New("another process runs with the instance's ID")
 )
 
-// Options are what an instance needs from its program.
+// Options configures a Node.
 type Options struct {
 	Settings    *settings.Settings
-	Incarnation fleet.Incarnation // Higher than that of any former life.
+	Incarnation fleet.Incarnation // Higher than any previous incarnation of the instance.
 	Store       metastore.Store
 	List        metastore.List
 	Log         *slog.Logger
 	Tracer      trace.Tracer
-	Seed        uint64 // Of the random choices.
-	// Faults for tests and the demo; nil for none.
-	LinkBlocked        func(to fleet.Ref) bool         // Peer links that lose every message.
-	WrapCallerListener func(net.Listener) net.Listener // Callers' connections.
+	Seed        uint64 // Seeds the random choices.
+	// Inject faults in tests and the demo; may be nil.
+	LinkBlocked        func(to fleet.Ref) bool         // Reports whether the link to a peer drops every message.
+	WrapCallerListener func(net.Listener) net.Listener // Wraps the listener for callers.
 }
 
-// Node is one life of an entry instance.
+// Node is one incarnation of an entry instance.
 type Node struct {
 	opts Options
 	self fleet.Instance
@@ -76,32 +76,33 @@
 
 	router    atomic.Pointer[entry.Router]
 	appliedAt atomic.Pointer[time.Time]
-	weights   map[fleet.Service]map[fleet.Account]int // Of the configuration in force; the control goroutine's.
+	weights   map[fleet.Service]map[fleet.Account]int // Of the active configuration. Used by the control goroutine only.
 	stopping  atomic.Bool
 	started   time.Time
 	fatal     chan error
-	refused   expvar.Map // Messages that duties refused, by kind.
+	rejected  expvar.Map // Messages that duties rejected, by kind.
 }
 
-// New listens on the instance's addresses and puts its parts together. ctx bounds the
-// instance's calls of the platform.
+// New listens on the instance's addresses and creates its components. ctx bounds the
+// instance's calls to the platform.
 func New(ctx context.Context, o Options) (*Node, error) {
 	reach := storecall.NewReach(o.Store, time.Now)
 	o.Store = reach
 	n := &Node{opts: o, reach: reach, log: o.Log, started: time.Now(), fatal: make(chan error, 1)}
-	n.refused.Init()
+	n.rejected.Init()
 	if err := n.listen(); err != nil {
 		n.close()
 		return nil, err
 	}
-	if err := n.provision(ctx); err != nil {
+	if err := n.createDuties(ctx); err != nil {
 		n.close()
 		return nil, err
 	}
 	return n, nil
 }
 
-// listen opens the three addresses, so that the instance knows what to advertise.
+// listen opens the three listeners. This comes first since the addresses to advertise may
+// depend on the ports that the system chose.
 func (n *Node) listen() error {
 	s := n.opts.Settings
 	n.self = fleet.Instance{
@@ -140,7 +141,7 @@
 		Resolve:     func(to fleet.Ref) (fleet.Instance, bool) { return n.members.Resolve(to) },
 		Deliver:     n.deliver,
 		LinkBlocked: n.opts.LinkBlocked,
-		Forwarders:  n.via,
+		Forwarders:  n.forwarders,
 		Log:         n.log,
 	})
 	if err != nil {
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// advertised returns the address that others are told.
+// advertised returns the configured address to advertise, or else the listening address.
 func advertised(configured, listening string) string {
 	if configured != "" {
 		return configured
@@ -165,7 +166,7 @@
 	return &peer.TLSFiles{Certificate: p.CertFile, Key: p.KeyFile, Authority: p.CAFile}
 }
 
-// close gives back the addresses of an instance that will not run.
+// close closes the listeners of an instance that will not run.
 func (n *Node) close() {
 	if n.entry != nil {
 		_ = n.entry.Close()
@@ -178,22 +179,22 @@
 	}
 }
 
-// Self returns the instance as others see it.
+// Self returns the instance's identity and advertised addresses.
 func (n *Node) Self() fleet.Instance {
 	return n.self
 }
 
-// OperatorAddr returns the address of the operators' endpoints.
+// OperatorAddr returns the listening address of the operator API.
 func (n *Node) OperatorAddr() string {
 	return n.operator.Addr()
 }
 
-// Kill ends the instance at once, without a planned stop, as a lost machine would.
+// Kill ends the instance at once, without a planned stop, to simulate a machine failure.
 func (n *Node) Kill() {
 	n.fail(ErrKilled)
 }
 
-// fail ends the instance with err. Only the first error counts.
+// fail ends the instance with err. Later errors are ignored.
 func (n *Node) fail(err error) {
 	select {
 	case n.fatal <- err:
@@ -201,10 +202,10 @@
 	}
 }
 
-// refuse counts and logs a message that a duty did not take.
-func (n *Node) refuse(from fleet.Ref, kind wire.Kind, err error) {
-	n.refused.Add(fmt.Sprint(kind), 1)
-	n.log.Debug("message refused", "from", from.String(), "kind", kind, "error", err.Error())
+// rejectMessage counts and logs a message that a duty rejected.
+func (n *Node) rejectMessage(from fleet.Ref, kind wire.Kind, err error) {
+	n.rejected.Add(fmt.Sprint(kind), 1)
+	n.log.Debug("peer message rejected", "from", from.String(), "kind", kind, "error", err.Error())
 }
 
 // LinkStats returns the counters of the peer links.
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -10,59 +10,59 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// Times of an instance's life.
 const (
-	listTimeout    = 2 * time.Second
-	quietBeforeEnd = 500 * time.Millisecond
-	stopPoll       = 20 * time.Millisecond
-	// announceTime is the time in which every instance hears that one leaves.
-	announceTime = time.Second
-	goneGrace    = 200 * time.Millisecond
+	listTimeout        = 2 * time.Second
+	idleBeforeShutdown = 500 * time.Millisecond
+	stopPollInterval   = 20 * time.Millisecond
+	// leavePropagationTime is the time in which a leave reaches every instance.
+	leavePropagationTime = time.Second
+	finalSendDelay       = 200 * time.Millisecond
 )
 
-// Run serves until ctx ends, then makes the planned stop. It returns ErrRejoin or
-// ErrSuperseded when the instance cannot go on as this life.
+// Run serves until ctx ends, then performs the planned stop. It returns ErrRejoin or
+// ErrSuperseded if the instance cannot continue with this incarnation.
 func (n *Node) Run(ctx context.Context) error {
-	// The parts outlive ctx, since a planned stop needs them.
-	parts, endParts := context.WithCancel(context.WithoutCancel(ctx))
-	defer endParts()
+	// The components outlive ctx, since a planned stop needs them.
+	parts, cancelParts := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelParts()
 	var wait conc.WaitGroup
-	wait.Go(func() { n.part(n.links.Run(parts)) })
-	wait.Go(func() { n.part(n.operator.Run(parts)) })
-	wait.Go(func() { n.part(n.entry.Run()) })
+	wait.Go(func() { n.failOnError(n.links.Run(parts)) })
+	wait.Go(func() { n.failOnError(n.operator.Run(parts)) })
+	wait.Go(func() { n.failOnError(n.entry.Run()) })
 	wait.Go(func() { n.loop.Run(parts) })
 	n.start(parts)
 	n.log.Info("instance started", "incarnation", n.self.Ref.Incarnation, "zone", n.self.Zone,
 		"entry", n.self.EntryAddr, "peer", n.self.PeerAddr, "operator", n.OperatorAddr())
 
-	err := n.await(ctx)
+	err := n.awaitStop(ctx)
 	if errors.Is(err, ErrKilled) {
 		n.abandon()
 	} else {
 		n.stop(err)
 	}
-	endParts()
+	cancelParts()
 	wait.Wait()
 	n.log.Info("instance stopped", "incarnation", n.self.Ref.Incarnation, "served", n.entry.Served())
 	return err
 }
 
-// abandon gives up the callers' side without waiting for anybody.
+// abandon shuts the callers' server down without waiting for requests in flight.
 func (n *Node) abandon() {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = n.entry.Shutdown(ended)
 }
 
-// part ends the instance when one of its servers fails.
-func (n *Node) part(err error) {
+// failOnError ends the instance if one of its servers failed.
+func (n *Node) failOnError(err error) {
 	if err != nil {
 		n.fail(err)
 	}
 }
 
-// await returns nil when a planned stop is asked for, or what ended the instance.
-func (n *Node) await(ctx context.Context) error {
+// awaitStop waits until ctx ends, which requests a planned stop, and returns nil, or until an
+// error ends the instance, and returns the error.
+func (n *Node) awaitStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return nil
@@ -71,11 +71,12 @@
 	}
 }
 
-// start reads the platform's list once, as a hint for joining, and begins to join.
+// start starts joining the fleet. The platform's instance list serves as a hint; it may be
+// missing.
 func (n *Node) start(ctx context.Context) {
 	l, err := n.readList(ctx)
 	if err != nil {
-		n.log.Warn("instance list not read at start", "error", err.Error())
+		n.log.Warn("initial read of the instance list failed; joining without it", "error", err.Error())
 	}
 	n.loop.Post(func(now time.Time) {
 		n.members.Start(now, l.Instances)
@@ -89,19 +90,19 @@
 	return n.opts.List.Read(ctx)
 }
 
-// takeListing runs on the control goroutine.
-func (n *Node) takeListing(now time.Time, l *metastore.Listing) {
+// applyListing runs on the control goroutine.
+func (n *Node) applyListing(now time.Time, l *metastore.Listing) {
 	n.members.Listed(now, l.Instances)
 	n.endpoints.SetListing(now, *l)
 }
 
-// stop makes the planned stop: the instance is handed out no more, serves until callers
-// have forgotten it, hands its keys over, finishes what is in flight and leaves. An
-// instance that was taken off the roster has been handed out no more for long, and
-// does not wait.
+// stop performs the planned stop: discovery stops returning the instance, it serves until
+// callers' discovery answers have expired, hands its keys over, finishes the requests in
+// flight and leaves the fleet. With a cause, such as removal from the roster, it skips the
+// wait and the leave, since discovery has not returned the instance for long.
 func (n *Node) stop(cause error) {
 	n.stopping.Store(true)
-	n.log.Info("planned stop begins", "incarnation", n.self.Ref.Incarnation, "in_flight", n.entry.InFlight())
+	n.log.Info("planned stop started", "incarnation", n.self.Ref.Incarnation, "in_flight", n.entry.InFlight())
 	ctx, cancel := context.WithTimeout(context.Background(), n.opts.Settings.Stop.Timeout)
 	defer cancel()
 	if cause == nil {
@@ -109,25 +110,25 @@
 	}
 	n.entry.Drain()
 	if cause == nil {
-		n.awaitForgotten(ctx)
+		n.awaitDiscoveryExpiry(ctx)
 	}
-	n.logStop("keys handed over", n.claims.Stop(ctx))
-	n.awaitQuiet(ctx)
-	n.logStop("callers answered", n.entry.Shutdown(ctx))
-	n.logStop("upstream work ended", n.dispatcher.Drain(ctx))
+	n.logStop("hand over keys", n.claims.Stop(ctx))
+	n.awaitIdle(ctx)
+	n.logStop("answer callers", n.entry.Shutdown(ctx))
+	n.logStop("finish upstream requests", n.dispatcher.Drain(ctx))
 	if cause == nil {
 		n.onLoop(ctx, n.members.Gone)
 	}
 	n.links.Flush(ctx)
-	time.Sleep(goneGrace)
+	time.Sleep(finalSendDelay)
 }
 
 func (n *Node) logStop(step string, err error) {
 	if err != nil {
-		n.log.Warn("planned stop", "step", step, "error", err.Error())
+		n.log.Warn("planned stop step failed; continuing", "step", step, "error", err.Error())
 		return
 	}
-	n.log.Info("planned stop", "step", step)
+	n.log.Info("planned stop step done", "step", step)
 }
 
 // onLoop runs f on the control goroutine and waits for it.
@@ -142,23 +143,23 @@
 	}
 }
 
-// awaitForgotten waits until every discovery answer that may name this instance has aged.
-// Another instance may have named it until it heard of the leaving.
-func (n *Node) awaitForgotten(ctx context.Context) {
-	age := n.opts.Settings.Fleet.DiscoveryMaxAge + announceTime
+// awaitDiscoveryExpiry waits until every discovery answer that may name this instance has
+// expired. Other instances may name it until they learn that it leaves.
+func (n *Node) awaitDiscoveryExpiry(ctx context.Context) {
+	age := n.opts.Settings.Fleet.DiscoveryMaxAge + leavePropagationTime
 	select {
 	case <-ctx.Done():
 	case <-time.After(age):
 	}
 }
 
-// awaitQuiet waits until no request has come for a while.
-func (n *Node) awaitQuiet(ctx context.Context) {
-	for n.entry.IdleTime() < quietBeforeEnd || n.calls.Running() > 0 {
+// awaitIdle waits until no request has arrived for idleBeforeShutdown and no relayed call runs.
+func (n *Node) awaitIdle(ctx context.Context) {
+	for n.entry.IdleTime() < idleBeforeShutdown || n.calls.Running() > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(stopPoll):
+		case <-time.After(stopPollInterval):
 		}
 	}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,7 +12,7 @@
 	"github.com/damaskcove/damaskcove/internal/storecall"
 )
 
-// Status returns what the operators' endpoint shows.
+// Status returns the status report of the operator API.
 func (n *Node) Status() api.Status {
 	snapshot := n.members.Snapshot()
 	s := api.Status{
@@ -43,7 +43,7 @@
 	return s
 }
 
-// revisionOf returns the configuration in force at a member, as far as this instance knows.
+// revisionOf returns the last known revision of the active configuration at a member.
 func (n *Node) revisionOf(m membership.Member) fleet.Revision {
 	if m.Instance.Ref == n.self.Ref {
 		return n.Revision()
@@ -51,7 +51,7 @@
 	return m.Revision
 }
 
-// Revision returns the number of the configuration in force, 0 before the first.
+// Revision returns the revision of the active configuration, 0 before the first.
 func (n *Node) Revision() fleet.Revision {
 	if router := n.router.Load(); router != nil {
 		return router.Config().Revision
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// Phase returns where the instance stands in its life.
+// Phase returns whether the instance is starting, serving or stopping.
 func (n *Node) Phase() api.Phase {
 	switch {
 	case n.stopping.Load():
@@ -84,7 +84,7 @@
 	}
 }
 
-// storeStatus reads the counts of store calls.
+// storeStatus returns the store's reachability and the counts of store calls.
 func (n *Node) storeStatus() api.Store {
 	s := api.Store{Calls: make(map[string]uint64)}
 	s.Reachable, s.LastOK = n.reach.Last()
@@ -134,7 +134,7 @@
 	}
 }
 
-// Explain tells where a request would go and why.
+// Explain returns how a request would be routed and why.
 func (n *Node) Explain(method, path string, account fleet.Account) api.Explanation {
 	x := api.Explanation{Method: method, Path: path, Account: account, Code: result.CodeNotReady}
 	router := n.router.Load()
