--- a/internal/listing/bench_test.go
+++ b/internal/listing/bench_test.go
@@ -10,12 +10,12 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// sizes are the numbers of endpoints that the slopes are taken over; each service has endpointsPerService.
+// sizes are the numbers of endpoints for which the growth of cost is measured.
 var sizes = []int{1500, 3000, 6000, 12000}
 
 const (
-	endpointsPerService = 45
-	endpointsPerFleet   = 15 // Per entry instance.
+	endpointsPerService  = 45
+	endpointsPerInstance = 15
 )
 
 func listOf(endpoints int) *metastore.Listing {
@@ -27,7 +27,7 @@
 			Zone:     fleet.Zone(fmt.Sprint("zone-", i%5)), Slots: 4, State: fleet.UpstreamReady,
 		})
 	}
-	for i := range endpoints / endpointsPerFleet {
+	for i := range endpoints / endpointsPerInstance {
 		l.Instances = append(l.Instances, fleet.Instance{
 			Ref: fleet.Ref{ID: fleet.InstanceID(fmt.Sprint("entry-", i)), Incarnation: 1796362262156}, Zone: fleet.Zone(fmt.Sprint("zone-", i%5)), Region: "region-1",
 			EntryAddr: fmt.Sprintf("10.200.%d.%d:8080", i>>8, i&255), PeerAddr: fmt.Sprintf("10.200.%d.%d:8081", i>>8, i&255),
@@ -36,9 +36,9 @@
 	return l
 }
 
-// next returns the list after one endpoint began to leave.
+// next returns the next version of the list, in which one endpoint is leaving.
 func next(l *metastore.Listing) *metastore.Listing {
-	out := change(l, l).apply(l)
+	out := changeMessage(l, l).apply(l)
 	out.Version = l.Version + 1
 	changed := append([]fleet.Upstream(nil), out.Upstreams["service-3"]...)
 	changed[0].State = fleet.UpstreamLeaving
@@ -55,7 +55,8 @@
 	return float64(len(data))
 }
 
-// BenchmarkChange makes the message that carries one changed endpoint, and tells its bytes and those of the others.
+// BenchmarkChange creates the message for one changed endpoint and reports the encoded size of
+// each kind of message.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -63,21 +64,21 @@
 			after := next(before)
 			var m Message
 			for b.Loop() {
-				m = change(before, after)
+				m = changeMessage(before, after)
 			}
 			b.ReportMetric(encodedBytes(b, m), "change-bytes")
-			b.ReportMetric(encodedBytes(b, whole(after)), "whole-bytes")
+			b.ReportMetric(encodedBytes(b, fullMessage(after)), "whole-bytes")
 			b.ReportMetric(encodedBytes(b, Message{Kind: MessageCurrent, Version: 1 << 40}), "current-bytes")
 		})
 	}
 }
 
-// BenchmarkApply applies the message of one changed endpoint.
+// BenchmarkApply applies the message for one changed endpoint.
 func BenchmarkApply(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			before := listOf(size)
-			m := change(before, next(before))
+			m := changeMessage(before, next(before))
 			for b.Loop() {
 				m.clean()
 				_ = m.apply(before)
@@ -86,7 +87,7 @@
 	}
 }
 
-// BenchmarkClean checks a whole list, as a watcher does with each that it reads.
+// BenchmarkClean checks a full list, as a watcher does after each read.
 func BenchmarkClean(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -100,7 +101,7 @@
 
 // BenchmarkCurrent delivers the message that a watcher sends while nothing changes.
 func BenchmarkCurrent(b *testing.B) {
-	w := newWorld(2, 1)
+	s := newSimulation(2, 1)
 	data, err := wire.Encode(wire.KindListing, Message{Kind: MessageCurrent})
 	if err != nil {
 		b.Fatal(err)
@@ -110,7 +111,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := w.duties[1].Deliver(w.now.Add(time.Second), ref(0), e); err != nil {
+		if err := s.duties[1].Deliver(s.now.Add(time.Second), ref(0), e); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/listing/clean.go
+++ b/internal/listing/clean.go
@@ -8,11 +8,11 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// MaxSlots bounds the slots of one endpoint.
+// MaxSlots is the largest accepted number of slots of one endpoint.
 const MaxSlots = 100_000
 
-// clean returns the list without the entries that cannot be used, and their number. Services,
-// endpoints and instances keep their order.
+// clean returns a copy of the list without its unusable entries, and their number. The order
+// is kept.
 func clean(l *metastore.Listing) (*metastore.Listing, int) {
 	dropped := 0
 	out := &metastore.Listing{Version: l.Version, Upstreams: make(map[fleet.Service][]fleet.Upstream, len(l.Upstreams))}
@@ -21,7 +21,7 @@
 		dropped += len(upstreams) - len(kept)
 		out.Upstreams[service] = kept
 	}
-	out.Instances = slices.DeleteFunc(slices.Clone(l.Instances), func(i fleet.Instance) bool { return !reachable(i) })
+	out.Instances = slices.DeleteFunc(slices.Clone(l.Instances), func(i fleet.Instance) bool { return !hasPeerAddress(i) })
 	dropped += len(l.Instances) - len(out.Instances)
 	return out, dropped
 }
@@ -35,7 +35,7 @@
 	return known && u.Slots > 0 && u.Slots <= MaxSlots
 }
 
-func reachable(i fleet.Instance) bool {
+func hasPeerAddress(i fleet.Instance) bool {
 	addr, err := netip.ParseAddrPort(i.PeerAddr)
 	return err == nil && addr.Port() != 0 && i.Ref.ID != ""
 }
--- a/internal/listing/doc.go
+++ b/internal/listing/doc.go
@@ -1,11 +1,14 @@
-// Package listing gives every instance the platform's list of live and leaving instances.
+// Package listing distributes the platform's list of upstreams and instances in the fleet.
 //
-// Few instances, the watchers, read the list about once a second. They push what changed
-// to the members that Options.Peers names, and between changes a short message that says which version is
-// current. A member reads the list itself only after it has heard nothing for WatcherTimeout. So
-// calls of the platform grow with the zones, and not with the fleet.
+// A few instances, the watchers, read the list about once a second. They push changes to the
+// members that Options.Peers returns, and in between a short message with the current version.
+// A member reads the list itself only if no message has arrived for WatcherTimeout. The number
+// of platform calls therefore grows with the number of zones, not with the size of the fleet.
 //
-// Guarantees: the snapshot's version never goes down; a change is applied only to the very version that
-// it was made from, and a member that missed one asks the sender for the whole list; entries of
-// the list that name no IP number and port, or have no slots or no known state, are dropped and counted.
+// Guarantees:
+//   - The snapshot's version never decreases.
+//   - A change is applied only to the version it was computed from. A member that missed one
+//     requests the full list from the sender.
+//   - Entries without an IP address and port, and endpoints without a valid number of slots or
+//     a known state, are dropped and counted.
 package listing
--- a/internal/listing/duty.go
+++ b/internal/listing/duty.go
@@ -13,55 +13,55 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// Times of the duty.
 const (
-	ReadInterval    = time.Second     // Between two reads of a watcher, plus or minus ReadJitter.
-	ReadJitter      = 0.2             // Share of ReadInterval.
-	CurrentInterval = 2 * time.Second // Between two messages of a watcher while nothing changes.
-	WatcherTimeout  = 6 * time.Second // After which a member reads the list itself; up to half more by chance.
+	ReadInterval    = time.Second     // Between reads of a watcher, with ReadJitter.
+	ReadJitter      = 0.2             // Fraction by which an interval varies in both directions.
+	CurrentInterval = 2 * time.Second // Between messages of a watcher while nothing changes, with ReadJitter.
+	WatcherTimeout  = 6 * time.Second // A member reads the list itself after this time without a message, plus up to half of it at random.
 	ReadTimeout     = 2 * time.Second // Of one read.
-	RequestInterval = time.Second     // Between two questions for the whole list.
+	RequestInterval = time.Second     // Minimum time between requests for the full list.
 )
 
-// Options are the parameters of a Duty.
+// Options configures a Duty.
 type Options struct {
 	List     metastore.List
 	Sender   control.Sender
-	Watcher  func() bool                               // Whether this instance reads the list for others now. On the control goroutine.
-	Peers    func() []fleet.Ref                        // The members that a watcher pushes to: those of its zone. On the control goroutine.
-	Post     func(f func(now time.Time)) bool          // Hands f to the control goroutine.
-	Go       func(f func())                            // Runs f aside; nil for a goroutine.
-	OnChange func(now time.Time, l *metastore.Listing) // A later list is held. On the control goroutine; may be nil.
+	Watcher  func() bool                               // Reports whether this instance is a watcher now. Called on the control goroutine.
+	Peers    func() []fleet.Ref                        // Returns the members that a watcher pushes to: those of its zone. Called on the control goroutine.
+	Post     func(f func(now time.Time)) bool          // Runs f on the control goroutine.
+	Go       func(f func())                            // Runs f in the background; nil to use a new goroutine.
+	OnChange func(now time.Time, l *metastore.Listing) // Called on the control goroutine with each newer list; may be nil.
 	Random   *rand.Rand
 }
 
-// Stats are the counts of a Duty.
+// Stats are the counters of a Duty.
 type Stats struct {
 	Reads      uint64 `json:"reads"`
 	ReadErrors uint64 `json:"read_errors"`
-	Dropped    uint64 `json:"dropped"` // Entries of lists that could not be used.
+	Dropped    uint64 `json:"dropped"` // Unusable entries of lists.
 	Pushed     uint64 `json:"pushed"`  // Messages sent.
-	Applied    uint64 `json:"applied"` // Later lists taken.
-	Stale      uint64 `json:"stale"`   // Earlier or equal lists refused.
+	Applied    uint64 `json:"applied"` // Newer lists applied.
+	Stale      uint64 `json:"stale"`   // Older lists ignored.
 }
 
-// Duty keeps the platform's list. Its methods run on the control goroutine, but for Snapshot and Stats.
+// Duty keeps the current list. Its methods must be called on the control goroutine, except
+// Snapshot and Stats, which are safe for concurrent use.
 type Duty struct {
-	o           Options
-	snapshot    atomic.Pointer[metastore.Listing]
-	stats       atomic.Pointer[Stats]
-	counts      Stats
-	reading     bool
-	nextRead    time.Time // Of a watcher, and of a member that holds no list.
-	nextCurrent time.Time // Of a watcher.
-	silentUntil time.Time // Of a member: when it reads the list itself.
-	nextAsk     time.Time
-	watching    bool
+	o              Options
+	snapshot       atomic.Pointer[metastore.Listing]
+	stats          atomic.Pointer[Stats]
+	counts         Stats
+	reading        bool
+	nextRead       time.Time // Of a watcher, and of a member without a list.
+	nextCurrent    time.Time // When a watcher next sends MessageCurrent.
+	fallbackReadAt time.Time // When a member reads the list itself unless a message arrives.
+	nextRequest    time.Time
+	watching       bool
 }
 
 var _ control.Duty = (*Duty)(nil)
 
-// New returns a duty that holds no list yet.
+// New returns a duty without a list.
 func New(o Options) *Duty {
 	if o.Go == nil {
 		o.Go = func(f func()) { go f() }
@@ -74,12 +74,12 @@
 	return d
 }
 
-// Snapshot returns the latest list, or nil before the first. It must not be changed.
+// Snapshot returns the current list, or nil before the first. It must not be modified.
 func (d *Duty) Snapshot() *metastore.Listing {
 	return d.snapshot.Load()
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (d *Duty) Stats() Stats {
 	return *d.stats.Load()
 }
@@ -89,30 +89,31 @@
 	return []wire.Kind{wire.KindListing}
 }
 
-// Tick implements control.Duty. Before the first list every instance reads it.
+// Tick implements control.Duty.
 func (d *Duty) Tick(now time.Time) {
 	defer d.publishStats()
-	d.switchPart(now)
+	d.updateRole(now)
 	if d.watching {
 		d.watch(now)
 		return
 	}
-	d.listen(now)
+	d.readIfSilent(now)
 }
 
-// listen reads the list when nothing was heard, or, each ReadInterval, when there is none yet.
-func (d *Duty) listen(now time.Time) {
+// readIfSilent reads the list if no message has arrived in time, and every ReadInterval until
+// the first list.
+func (d *Duty) readIfSilent(now time.Time) {
 	none := d.snapshot.Load() == nil && !now.Before(d.nextRead)
-	if !none && now.Before(d.silentUntil) {
+	if !none && now.Before(d.fallbackReadAt) {
 		return
 	}
 	d.nextRead = now.Add(d.jittered(ReadInterval))
-	d.silentUntil = now.Add(d.silence())
+	d.fallbackReadAt = now.Add(d.jitteredWatcherTimeout())
 	d.read()
 }
 
-// switchPart notes that the instance has become a watcher or has ceased to be one.
-func (d *Duty) switchPart(now time.Time) {
+// updateRole checks whether the instance is a watcher and resets the timers when this changes.
+func (d *Duty) updateRole(now time.Time) {
 	watching := d.o.Watcher()
 	if watching == d.watching {
 		return
@@ -120,7 +121,7 @@
 	d.watching = watching
 	d.nextCurrent = now
 	d.nextRead = now
-	d.silentUntil = now.Add(d.silence())
+	d.fallbackReadAt = now.Add(d.jitteredWatcherTimeout())
 }
 
 func (d *Duty) watch(now time.Time) {
@@ -140,11 +141,11 @@
 	return time.Duration(float64(interval) * share)
 }
 
-func (d *Duty) silence() time.Duration {
+func (d *Duty) jitteredWatcherTimeout() time.Duration {
 	return time.Duration(float64(WatcherTimeout) * (1 + d.o.Random.Float64()/2))
 }
 
-// read reads the list aside, one read at a time.
+// read starts reading the list in the background unless a read is running.
 func (d *Duty) read() {
 	if d.reading {
 		return
@@ -167,12 +168,12 @@
 		return
 	}
 	before := d.snapshot.Load()
-	if !d.later(l.Version) {
+	if !d.isNewer(l.Version) {
 		return
 	}
 	cleaned, dropped := clean(&l)
 	d.counts.Dropped += uint64(dropped)
-	d.take(now, cleaned)
+	d.setSnapshot(now, cleaned)
 	if !d.watching {
 		return
 	}
@@ -180,11 +181,11 @@
 		d.push(now, Message{Kind: MessageCurrent, Version: cleaned.Version})
 		return
 	}
-	d.push(now, change(before, cleaned))
+	d.push(now, changeMessage(before, cleaned))
 }
 
-// later reports whether a list of a version may replace the one held.
-func (d *Duty) later(version uint64) bool {
+// isNewer reports whether a version is newer than the current list. It counts older ones.
+func (d *Duty) isNewer(version uint64) bool {
 	held := d.snapshot.Load()
 	if held != nil && version < held.Version {
 		d.counts.Stale++
@@ -192,14 +193,14 @@
 	return held == nil || version > held.Version
 }
 
-// take puts a later list in place of the one held.
-func (d *Duty) take(now time.Time, l *metastore.Listing) {
+// setSnapshot replaces the current list by a newer one.
+func (d *Duty) setSnapshot(now time.Time, l *metastore.Listing) {
 	d.snapshot.Store(l)
 	d.counts.Applied++
 	d.o.OnChange(now, l)
 }
 
-// push sends a message to every member that this watcher serves.
+// push sends a message to every member that this watcher pushes to.
 func (d *Duty) push(now time.Time, m Message) {
 	d.nextCurrent = now.Add(d.jittered(CurrentInterval))
 	for _, peer := range d.o.Peers() {
@@ -220,62 +221,63 @@
 		return err
 	}
 	if m.Kind == MessageRequest {
-		d.answer(from, m)
+		d.sendIfNewer(from, m)
 		return nil
 	}
-	d.silentUntil = now.Add(d.silence())
+	d.fallbackReadAt = now.Add(d.jitteredWatcherTimeout())
 	switch m.Kind {
 	case MessageCurrent:
-		d.compare(now, from, m)
+		d.requestIfNewer(now, from, m)
 	case MessageChange:
-		d.change(now, from, m)
+		d.applyChange(now, from, m)
 	case MessageFull:
-		d.replace(now, m)
+		d.applyFull(now, m)
 	default:
 		return fmt.Errorf("%w: listing message of kind %d from %v", wire.ErrMalformed, m.Kind, from)
 	}
 	return nil
 }
 
-// answer sends the whole list to a member that holds an earlier one.
-func (d *Duty) answer(to fleet.Ref, m Message) {
+// sendIfNewer sends the full list to a member that holds an older one.
+func (d *Duty) sendIfNewer(to fleet.Ref, m Message) {
 	if held := d.snapshot.Load(); held != nil && held.Version > m.Version {
-		d.send(to, whole(held))
+		d.send(to, fullMessage(held))
 	}
 }
 
-// compare asks for the whole list when the sender holds a later one.
-func (d *Duty) compare(now time.Time, from fleet.Ref, m Message) {
+// requestIfNewer requests the full list if the sender holds a newer one.
+func (d *Duty) requestIfNewer(now time.Time, from fleet.Ref, m Message) {
 	held := d.heldVersion()
-	if m.Version <= held || now.Before(d.nextAsk) {
+	if m.Version <= held || now.Before(d.nextRequest) {
 		return
 	}
-	d.nextAsk = now.Add(RequestInterval)
+	d.nextRequest = now.Add(RequestInterval)
 	d.send(from, Message{Kind: MessageRequest, Version: held})
 }
 
-// change applies a change that was made from the list held.
-func (d *Duty) change(now time.Time, from fleet.Ref, m Message) {
+// applyChange applies a change to the list it was computed from, or requests the full list if
+// the current one has another version.
+func (d *Duty) applyChange(now time.Time, from fleet.Ref, m Message) {
 	held := d.snapshot.Load()
 	if held == nil || held.Version != m.Base {
-		d.compare(now, from, m)
+		d.requestIfNewer(now, from, m)
 		return
 	}
-	if !d.later(m.Version) {
+	if !d.isNewer(m.Version) {
 		return
 	}
 	dropped := m.clean()
 	d.counts.Dropped += uint64(dropped)
-	d.take(now, m.apply(held))
+	d.setSnapshot(now, m.apply(held))
 }
 
-func (d *Duty) replace(now time.Time, m Message) {
-	if !d.later(m.Version) {
+func (d *Duty) applyFull(now time.Time, m Message) {
+	if !d.isNewer(m.Version) {
 		return
 	}
-	cleaned, dropped := clean(m.list())
+	cleaned, dropped := clean(m.listing())
 	d.counts.Dropped += uint64(dropped)
-	d.take(now, cleaned)
+	d.setSnapshot(now, cleaned)
 }
 
 func (d *Duty) heldVersion() uint64 {
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -43,65 +43,65 @@
 	}
 }
 
-// TestVersionsNeverGoDownAndAllConverge loses, doubles and holds back messages, lets the list lag and
-// go away, and changes who watches.
-func TestVersionsNeverGoDownAndAllConverge(t *testing.T) {
+// TestVersionsNeverDecreaseAndConverge drops, duplicates and delays messages, makes the list stale
+// or unavailable, and changes the watchers.
+func TestVersionsNeverDecreaseAndConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(5, 2)
-		var held []packet
+		s := newSimulation(5, 2)
+		var delayed []packet
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "network"), 0))
-		w.lost = func(p packet) bool {
+		s.lost = func(p packet) bool {
 			switch random.IntN(4) {
 			case 0:
 				return true
 			case 1:
-				held = append(held, p)
+				delayed = append(delayed, p)
 				return true
 			default:
 				return false
 			}
 		}
 		check := func() {
-			for i, d := range w.duties {
+			for i, d := range s.duties {
 				l := d.Snapshot()
 				if l == nil {
 					continue
 				}
-				if l.Version < w.versions[i] {
-					rt.Fatalf("instance %d went from version %d to %d", i, w.versions[i], l.Version)
+				if l.Version < s.versions[i] {
+					rt.Fatalf("instance %d went from version %d to %d", i, s.versions[i], l.Version)
 				}
-				w.versions[i] = l.Version
-				checkSame(rt, i, l, &w.history[l.Version])
+				s.versions[i] = l.Version
+				checkSame(rt, i, l, &s.history[l.Version])
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"publish": func(rt *rapid.T) { w.publish(drawChange(rt)) },
+			"publish": func(rt *rapid.T) { s.publish(drawChange(rt)) },
 			"pass": func(rt *rapid.T) {
-				w.pass(time.Duration(rapid.IntRange(1, 40).Draw(rt, "ticks")) * 50 * time.Millisecond)
+				s.advance(time.Duration(rapid.IntRange(1, 40).Draw(rt, "ticks")) * 50 * time.Millisecond)
 			},
-			"lag":    func(rt *rapid.T) { w.lag = rapid.IntRange(0, 3).Draw(rt, "lag") },
-			"outage": func(rt *rapid.T) { w.down = rapid.Bool().Draw(rt, "down") },
+			"lag":    func(rt *rapid.T) { s.lag = rapid.IntRange(0, 3).Draw(rt, "lag") },
+			"outage": func(rt *rapid.T) { s.down = rapid.Bool().Draw(rt, "down") },
 			"watcher": func(rt *rapid.T) {
-				w.watchers[rapid.IntRange(0, 4).Draw(rt, "instance")] = rapid.Bool().Draw(rt, "watches")
+				s.watchers[rapid.IntRange(0, 4).Draw(rt, "instance")] = rapid.Bool().Draw(rt, "watches")
 			},
 			"late": func(*rapid.T) {
-				late := held
-				held = nil
+				late := delayed
+				delayed = nil
 				for _, p := range late {
-					w.deliver(p)
-					w.deliver(p)
+					s.deliver(p)
+					s.deliver(p)
 				}
-				w.settle()
+				s.settle()
 			},
 			"": func(*rapid.T) { check() },
 		})
-		w.lost = func(packet) bool { return false }
-		w.down, w.lag = false, 0
-		w.pass(2 * WatcherTimeout)
+		s.lost = func(packet) bool { return false }
+		s.down, s.lag = false, 0
+		s.advance(2 * WatcherTimeout)
 		check()
-		for i, d := range w.duties {
-			if got := d.Snapshot(); got == nil || got.Version != w.latest.Version {
-				rt.Fatalf("instance %d holds %+v, the latest is version %d", i, got, w.latest.Version)
+		for i, d := range s.duties {
+			if got := d.Snapshot(); got == nil || got.Version != s.latest.Version {
+				rt.Fatalf("instance %d holds %+v, the latest is version %d", i, got, s.latest.Version)
 			}
 		}
 	})
@@ -123,39 +123,39 @@
 	}
 }
 
-// TestReadsDoNotGrowWithTheFleet counts the reads of a minute at two sizes of fleet with two watchers.
+// TestReadsDoNotGrowWithTheFleet counts the reads in one minute for two fleet sizes with two watchers.
 func TestReadsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, size := range []int{12, 44} {
-		w := newWorld(size, 2)
-		w.publish(func(l *metastore.Listing) { l.Upstreams["a"] = []fleet.Upstream{endpoint(1, 4, fleet.UpstreamReady)} })
-		w.pass(10 * time.Second)
-		w.reads = 0
-		w.pass(time.Minute)
-		if least, most := 2*40, 2*80; w.reads < least || w.reads > most {
-			t.Errorf("%d instances: %d reads in a minute, want %d to %d", size, w.reads, least, most)
+		s := newSimulation(size, 2)
+		s.publish(func(l *metastore.Listing) { l.Upstreams["a"] = []fleet.Upstream{endpoint(1, 4, fleet.UpstreamReady)} })
+		s.advance(10 * time.Second)
+		s.reads = 0
+		s.advance(time.Minute)
+		if least, most := 2*40, 2*80; s.reads < least || s.reads > most {
+			t.Errorf("%d instances: %d reads in a minute, want %d to %d", size, s.reads, least, most)
 		}
 	}
 }
 
-func TestMembersReadWhenNoWatcherIsHeard(t *testing.T) {
-	w := newWorld(3, 1)
-	w.pass(time.Second)
-	w.watchers[0] = false
-	w.publish(func(l *metastore.Listing) { l.Upstreams["a"] = []fleet.Upstream{endpoint(1, 4, fleet.UpstreamReady)} })
-	w.pass(2 * WatcherTimeout)
-	for i, d := range w.duties {
+func TestMembersReadWithoutWatcher(t *testing.T) {
+	s := newSimulation(3, 1)
+	s.advance(time.Second)
+	s.watchers[0] = false
+	s.publish(func(l *metastore.Listing) { l.Upstreams["a"] = []fleet.Upstream{endpoint(1, 4, fleet.UpstreamReady)} })
+	s.advance(2 * WatcherTimeout)
+	for i, d := range s.duties {
 		if d.Snapshot().Version != 1 {
 			t.Errorf("instance %d is at version %d", i, d.Snapshot().Version)
 		}
 	}
 }
 
-func TestReadsInAnOutageFromTheStart(t *testing.T) {
-	w := newWorld(3, 0)
-	w.down = true
-	w.pass(10 * time.Second)
-	if w.reads > 3*13 {
-		t.Fatalf("3 instances without a list read it %d times in 10 s", w.reads)
+func TestReadsDuringOutageFromStart(t *testing.T) {
+	s := newSimulation(3, 0)
+	s.down = true
+	s.advance(10 * time.Second)
+	if s.reads > 3*13 {
+		t.Fatalf("3 instances without a list read it %d times in 10 s", s.reads)
 	}
 }
 
@@ -179,7 +179,7 @@
 }
 
 func TestMalformedMessages(t *testing.T) {
-	w := newWorld(1, 0)
+	s := newSimulation(1, 0)
 	for _, body := range []any{Message{Kind: 99}, "text", 7} {
 		data, err := wire.Encode(wire.KindListing, body)
 		if err != nil {
@@ -189,7 +189,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := w.duties[0].Deliver(w.now, ref(5), e); !errors.Is(err, wire.ErrMalformed) {
+		if err := s.duties[0].Deliver(s.now, ref(5), e); !errors.Is(err, wire.ErrMalformed) {
 			t.Errorf("%v: %v", body, err)
 		}
 	}
--- a/internal/listing/message.go
+++ b/internal/listing/message.go
@@ -9,35 +9,35 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// MessageKind tells the messages apart.
+// MessageKind is the kind of a Message.
 type MessageKind uint8
 
-// Messages between instances.
+// Kinds of messages.
 const (
-	MessageCurrent MessageKind = iota + 1 // Version is current; nothing changed.
-	MessageChange                         // What changed from Base to Version.
-	MessageFull                           // The whole list at Version.
-	MessageRequest                        // The sender holds Version and wants the whole list, if there is a later one.
+	MessageCurrent MessageKind = iota + 1 // Announces the sender's version; nothing changed.
+	MessageChange                         // The changes from Base to Version.
+	MessageFull                           // The full list at Version.
+	MessageRequest                        // Requests the full list if it is newer than Version.
 )
 
-// Message is one message about the list.
+// Message is a message between instances about the list.
 type Message struct {
 	Kind             MessageKind                        `cbor:"1,keyasint"`
 	Version          uint64                             `cbor:"2,keyasint"`
 	Base             uint64                             `cbor:"3,keyasint,omitempty"`
-	Upstreams        map[fleet.Service][]fleet.Upstream `cbor:"4,keyasint,omitempty"` // Of each service that changed, whole.
+	Upstreams        map[fleet.Service][]fleet.Upstream `cbor:"4,keyasint,omitempty"` // All upstreams of each changed service.
 	RemovedServices  []fleet.Service                    `cbor:"5,keyasint,omitempty"`
-	Instances        []fleet.Instance                   `cbor:"6,keyasint,omitempty"` // Those that changed.
+	Instances        []fleet.Instance                   `cbor:"6,keyasint,omitempty"` // Changed or added instances.
 	RemovedInstances []fleet.Ref                        `cbor:"7,keyasint,omitempty"`
 }
 
-// whole returns the message that carries a whole list.
-func whole(l *metastore.Listing) Message {
+// fullMessage returns the message with the full list.
+func fullMessage(l *metastore.Listing) Message {
 	return Message{Kind: MessageFull, Version: l.Version, Upstreams: l.Upstreams, Instances: l.Instances}
 }
 
-// change returns the message that leads from one list to a later one.
-func change(from, to *metastore.Listing) Message {
+// changeMessage returns the message with the changes from one list to a newer one.
+func changeMessage(from, to *metastore.Listing) Message {
 	m := Message{Kind: MessageChange, Base: from.Version, Version: to.Version}
 	for service, upstreams := range to.Upstreams {
 		before, ok := from.Upstreams[service]
@@ -78,8 +78,8 @@
 	return changed, removed
 }
 
-// list returns the list of a MessageFull.
-func (m Message) list() *metastore.Listing {
+// listing returns the list in a MessageFull.
+func (m Message) listing() *metastore.Listing {
 	upstreams := m.Upstreams
 	if upstreams == nil {
 		upstreams = make(map[fleet.Service][]fleet.Upstream)
@@ -87,7 +87,7 @@
 	return &metastore.Listing{Version: m.Version, Upstreams: upstreams, Instances: m.Instances}
 }
 
-// apply returns the list after a MessageChange; the list before is not changed.
+// apply returns the list that results from a MessageChange. It doesn't modify before.
 func (m Message) apply(before *metastore.Listing) *metastore.Listing {
 	after := &metastore.Listing{Version: m.Version, Upstreams: maps.Clone(before.Upstreams)}
 	if after.Upstreams == nil {
@@ -101,12 +101,12 @@
 	return after
 }
 
-// clean drops the entries that cannot be used and returns their number. An instance that
-// cannot be used counts as removed.
+// clean drops the unusable entries and returns their number. An unusable instance counts as
+// removed.
 func (m *Message) clean() int {
-	parts, dropped := clean(&metastore.Listing{Upstreams: m.Upstreams, Instances: m.Instances})
-	kept := make(map[fleet.Ref]bool, len(parts.Instances))
-	for _, instance := range parts.Instances {
+	cleaned, dropped := clean(&metastore.Listing{Upstreams: m.Upstreams, Instances: m.Instances})
+	kept := make(map[fleet.Ref]bool, len(cleaned.Instances))
+	for _, instance := range cleaned.Instances {
 		kept[instance.Ref] = true
 	}
 	for _, instance := range m.Instances {
@@ -114,7 +114,7 @@
 			m.RemovedInstances = append(m.RemovedInstances, instance.Ref)
 		}
 	}
-	m.Upstreams, m.Instances = parts.Upstreams, parts.Instances
+	m.Upstreams, m.Instances = cleaned.Upstreams, cleaned.Instances
 	return dropped
 }
 
--- a/internal/listing/simulation_test.go
+++ b/internal/listing/simulation_test.go
@@ -12,12 +12,12 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// world is a few duties over a network that loses, delays and doubles messages.
-type world struct {
+// simulation connects a few duties by a network that drops, delays and duplicates messages.
+type simulation struct {
 	now      time.Time
 	latest   metastore.Listing
 	history  []metastore.Listing
-	lag      int // How many versions back a read sees.
+	lag      int // How many versions behind the latest a read returns.
 	down     bool
 	reads    int
 	duties   []*Duty
@@ -25,7 +25,7 @@
 	queue    []packet
 	posted   []func(now time.Time)
 	lost     func(p packet) bool
-	versions []uint64 // Highest version that each duty has shown.
+	versions []uint64 // Highest version seen at each duty.
 }
 
 type packet struct {
@@ -34,12 +34,12 @@
 }
 
 type link struct {
-	w    *world
+	s    *simulation
 	from int
 }
 
 func (l link) Send(to fleet.Ref, _ wire.Kind, body any) {
-	l.w.queue = append(l.w.queue, packet{from: l.from, to: index(to), body: body.(Message)})
+	l.s.queue = append(l.s.queue, packet{from: l.from, to: index(to), body: body.(Message)})
 }
 
 func ref(i int) fleet.Ref {
@@ -52,38 +52,38 @@
 	return i
 }
 
-func (w *world) Read(context.Context) (metastore.Listing, error) {
-	w.reads++
-	if w.down {
+func (s *simulation) Read(context.Context) (metastore.Listing, error) {
+	s.reads++
+	if s.down {
 		return metastore.Listing{}, metastore.ErrUnavailable
 	}
-	return w.history[max(0, len(w.history)-1-w.lag)], nil
+	return s.history[max(0, len(s.history)-1-s.lag)], nil
 }
 
-func newWorld(size, watchers int) *world {
-	w := &world{now: time.Unix(1000, 0), lost: func(packet) bool { return false }, versions: make([]uint64, size)}
-	w.history = []metastore.Listing{{}}
+func newSimulation(size, watchers int) *simulation {
+	s := &simulation{now: time.Unix(1000, 0), lost: func(packet) bool { return false }, versions: make([]uint64, size)}
+	s.history = []metastore.Listing{{}}
 	for i := range size {
-		w.watchers = append(w.watchers, i < watchers)
-		w.duties = append(w.duties, New(Options{
-			List:    w,
-			Sender:  link{w, i},
-			Watcher: func() bool { return w.watchers[i] },
-			Peers:   func() []fleet.Ref { return w.peersOf(i) },
+		s.watchers = append(s.watchers, i < watchers)
+		s.duties = append(s.duties, New(Options{
+			List:    s,
+			Sender:  link{s, i},
+			Watcher: func() bool { return s.watchers[i] },
+			Peers:   func() []fleet.Ref { return s.peersOf(i) },
 			Post: func(f func(now time.Time)) bool {
-				w.posted = append(w.posted, f)
+				s.posted = append(s.posted, f)
 				return true
 			},
 			Go:     func(f func()) { f() },
 			Random: rand.New(rand.NewPCG(1, uint64(i))),
 		}))
 	}
-	return w
+	return s
 }
 
-func (w *world) peersOf(i int) []fleet.Ref {
+func (s *simulation) peersOf(i int) []fleet.Ref {
 	var out []fleet.Ref
-	for j := range w.duties {
+	for j := range s.duties {
 		if j != i {
 			out = append(out, ref(j))
 		}
@@ -91,43 +91,43 @@
 	return out
 }
 
-// publish makes the next version of the list.
-func (w *world) publish(change func(l *metastore.Listing)) {
-	next := metastore.Listing{Version: w.latest.Version + 1, Upstreams: map[fleet.Service][]fleet.Upstream{}}
-	for service, upstreams := range w.latest.Upstreams {
+// publish creates the next version of the list.
+func (s *simulation) publish(change func(l *metastore.Listing)) {
+	next := metastore.Listing{Version: s.latest.Version + 1, Upstreams: map[fleet.Service][]fleet.Upstream{}}
+	for service, upstreams := range s.latest.Upstreams {
 		next.Upstreams[service] = slices.Clone(upstreams)
 	}
-	next.Instances = slices.Clone(w.latest.Instances)
+	next.Instances = slices.Clone(s.latest.Instances)
 	change(&next)
-	w.latest = next
-	w.history = append(w.history, next)
+	s.latest = next
+	s.history = append(s.history, next)
 }
 
-// step passes a tick and delivers what is under way.
-func (w *world) step() {
-	w.now = w.now.Add(50 * time.Millisecond)
-	for _, d := range w.duties {
-		d.Tick(w.now)
+// step advances the time by one tick and delivers the messages in flight.
+func (s *simulation) step() {
+	s.now = s.now.Add(50 * time.Millisecond)
+	for _, d := range s.duties {
+		d.Tick(s.now)
 	}
-	w.settle()
+	s.settle()
 }
 
-func (w *world) settle() {
-	for len(w.queue)+len(w.posted) > 0 {
-		posted, queue := w.posted, w.queue
-		w.posted, w.queue = nil, nil
+func (s *simulation) settle() {
+	for len(s.queue)+len(s.posted) > 0 {
+		posted, queue := s.posted, s.queue
+		s.posted, s.queue = nil, nil
 		for _, f := range posted {
-			f(w.now)
+			f(s.now)
 		}
 		for _, p := range queue {
-			if !w.lost(p) {
-				w.deliver(p)
+			if !s.lost(p) {
+				s.deliver(p)
 			}
 		}
 	}
 }
 
-func (w *world) deliver(p packet) {
+func (s *simulation) deliver(p packet) {
 	data, err := wire.Encode(wire.KindListing, p.body)
 	if err != nil {
 		panic(err)
@@ -136,13 +136,13 @@
 	if err != nil {
 		panic(err)
 	}
-	if err := w.duties[p.to].Deliver(w.now, ref(p.from), e); err != nil {
+	if err := s.duties[p.to].Deliver(s.now, ref(p.from), e); err != nil {
 		panic(err)
 	}
 }
 
-func (w *world) pass(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.step()
+func (s *simulation) advance(d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.step()
 	}
 }
