--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -11,7 +11,7 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// accept takes a link from another instance and delivers what it sends.
+// accept accepts a link from another instance and delivers its messages.
 func (l *Links) accept(w http.ResponseWriter, r *http.Request) {
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	defer func() { _ = conn.CloseNow() }()
 	conn.SetReadLimit(wire.MaxEnvelopeBytes)
-	from, err := l.greet(r, conn)
+	from, err := l.handshake(r, conn)
 	if err != nil {
 		l.count.refused.Add(1)
 		l.cfg.Log.Warn("peer refused", "address", r.RemoteAddr, "error", err.Error())
@@ -47,12 +47,12 @@
 			l.cfg.Log.Warn("peer message dropped", "from", from.Ref.String(), "error", err.Error())
 			continue
 		}
-		l.take(from.Ref, envelope)
+		l.receive(from.Ref, envelope)
 	}
 }
 
-// greet reads the Hello and checks who sent it.
-func (l *Links) greet(r *http.Request, conn *websocket.Conn) (fleet.Instance, error) {
+// handshake reads the Hello and verifies the sender's fleet and identity.
+func (l *Links) handshake(r *http.Request, conn *websocket.Conn) (fleet.Instance, error) {
 	ctx, cancel := context.WithTimeout(r.Context(), dialTimeout)
 	defer cancel()
 	_, data, err := conn.Read(ctx)
@@ -74,15 +74,15 @@
 		l.count.otherFleet.Add(1)
 		return fleet.Instance{}, fmt.Errorf("instance %s is of fleet %q, want %q", hello.From.Ref, hello.Fleet, l.cfg.Fleet)
 	}
-	if err := provesItself(r, hello.From); err != nil {
+	if err := verifyIdentity(r, hello.From); err != nil {
 		return fleet.Instance{}, err
 	}
-	l.remember(hello.From)
+	l.recordPeer(hello.From)
 	return hello.From, nil
 }
 
-// provesItself checks that the certificate of a TLS link names the instance that the Hello names.
-func provesItself(r *http.Request, in fleet.Instance) error {
+// verifyIdentity checks that the certificate of a TLS link names the instance in the Hello.
+func verifyIdentity(r *http.Request, in fleet.Instance) error {
 	if r.TLS == nil {
 		return nil
 	}
@@ -93,14 +93,14 @@
 	return nil
 }
 
-// maxHeard bounds the peers that are known only by their Hello.
-const maxHeard = 4096
+// maxHelloPeers bounds the peers whose address is kept from their Hello.
+const maxHelloPeers = 4096
 
-func (l *Links) remember(in fleet.Instance) {
+func (l *Links) recordPeer(in fleet.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.heard) >= maxHeard {
-		clear(l.heard)
+	if len(l.helloPeers) >= maxHelloPeers {
+		clear(l.helloPeers)
 	}
-	l.heard[in.Ref] = in
+	l.helloPeers[in.Ref] = in
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -11,35 +11,35 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Times of a link.
 const (
-	dialTimeout    = 2 * time.Second
-	writeTimeout   = 2 * time.Second
-	reconnectFirst = 50 * time.Millisecond
-	reconnectMost  = 2 * time.Second
-	// checkInterval is the time between two checks that what was sent has arrived.
-	checkInterval = 2 * time.Second
-	checkTimeout  = time.Second
-	// IdleTimeout is how long a link stays open without a message.
+	dialTimeout           = 2 * time.Second
+	writeTimeout          = 2 * time.Second
+	initialReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay     = 2 * time.Second
+	// pingInterval is the time between pings that confirm a link on which messages were sent.
+	pingInterval = 2 * time.Second
+	pingTimeout  = time.Second
+	// IdleTimeout is the time without a message after which a link is closed.
 	IdleTimeout = 60 * time.Second
 )
 
-// link is the sending side of one direction, to one life of an instance.
+// link is the outgoing link to one incarnation of an instance.
 type link struct {
 	links    *Links
 	to       fleet.Ref
 	queue    *queue
 	up       atomic.Bool
-	tried    atomic.Bool // Set once a dial has ended.
+	dialed   atomic.Bool // Set after the first dial has ended.
 	failures int
 }
 
-// run dials, writes what is queued and dials again with jitter, until ctx ends or the link is idle.
+// run dials, writes the queued messages and redials with jitter, until ctx ends, the link is
+// idle or the instance is no longer known.
 func (l *link) run(ctx context.Context) {
-	defer l.links.forget(l)
+	defer l.links.removeLink(l)
 	for ctx.Err() == nil {
 		conn, err := l.dial(ctx)
-		l.tried.Store(true)
+		l.dialed.Store(true)
 		if err != nil {
 			l.links.count.dialFailed.Add(1)
 			if !l.backOff(ctx) {
@@ -52,14 +52,14 @@
 		idle := l.write(ctx, conn)
 		l.up.Store(false)
 		_ = conn.CloseNow()
-		if idle && l.links.retire(l) {
+		if idle && l.links.removeIfIdle(l) {
 			return
 		}
 	}
 }
 
-// backOff drops what is queued, as it would be stale after the wait, and waits. It
-// returns false when the instance is no longer known.
+// backOff drops the queued messages, which would be stale after the delay, and waits. It
+// returns false if ctx ends or the instance is no longer known.
 func (l *link) backOff(ctx context.Context) bool {
 	l.failures++
 	l.links.count.dropped.Add(int64(l.queue.clear()))
@@ -69,16 +69,16 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(reconnectWait(l.failures)):
+	case <-time.After(reconnectDelay(l.failures)):
 		return true
 	}
 }
 
-// reconnectWait returns the wait after a number of failures in a row, between half
-// and all of an exponential bound.
-func reconnectWait(failures int) time.Duration {
-	bound := reconnectFirst << min(failures, 10)
-	bound = min(bound, reconnectMost)
+// reconnectDelay returns the delay after a number of consecutive failures: an exponential
+// backoff with jitter, between half of its bound and the bound.
+func reconnectDelay(failures int) time.Duration {
+	bound := initialReconnectDelay << min(failures, 10)
+	bound = min(bound, maxReconnectDelay)
 	return bound/2 + rand.N(bound/2)
 }
 
@@ -103,46 +103,48 @@
 	return conn, nil
 }
 
-// write sends what is queued until the connection fails or ctx ends (false), or the link is idle (true).
+// write sends queued messages. It returns false when the connection fails or ctx ends, and
+// true when the link is idle.
 func (l *link) write(ctx context.Context, conn *websocket.Conn) (idle bool) {
 	closed := conn.CloseRead(ctx)
 	timer := time.NewTimer(IdleTimeout)
 	defer timer.Stop()
-	check := time.NewTicker(checkInterval)
-	defer check.Stop()
-	unchecked := false
+	pingTicker := time.NewTicker(pingInterval)
+	defer pingTicker.Stop()
+	unconfirmed := false
 	for {
 		select {
 		case <-closed.Done():
 			return false
 		case <-timer.C:
 			return true
-		case <-check.C:
-			if unchecked && !l.check(ctx, conn) {
+		case <-pingTicker.C:
+			if unconfirmed && !l.ping(ctx, conn) {
 				return false
 			}
-			unchecked = false
+			unconfirmed = false
 		case <-l.queue.ready:
 			if !l.flush(ctx, conn) {
 				return false
 			}
-			unchecked = true
+			unconfirmed = true
 			timer.Reset(IdleTimeout)
 		}
 	}
 }
 
-// check asks the other side for a sign of life. A direction that loses everything does not answer.
-func (l *link) check(ctx context.Context, conn *websocket.Conn) bool {
+// ping reports whether the peer answers a WebSocket ping. It fails if one direction of the
+// connection drops everything.
+func (l *link) ping(ctx context.Context, conn *websocket.Conn) bool {
 	if l.links.blocked(l.to) {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	return conn.Ping(ctx) == nil
 }
 
-// flush writes every queued message. A blocked link loses them, as a dead direction would.
+// flush writes all queued messages. A blocked link drops them, as a network partition would.
 func (l *link) flush(ctx context.Context, conn *websocket.Conn) bool {
 	for {
 		it, ok := l.queue.pop()
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -18,29 +18,30 @@
 )
 
 var (
-	errUnknownInstance = errors.New("instance's peer address not known")
+	errUnknownInstance = errors.New("unknown peer address of instance")
 	errLinkBlocked     = errors.New("link blocked")
 )
 
-// path is the HTTP path of the WebSocket.
+// path is the HTTP path of the WebSocket endpoint.
 const path = "/peer"
 
-// Config is what Links need.
+// Config configures Links.
 type Config struct {
-	Self        fleet.Instance // An empty PeerAddr becomes the address listened on.
+	Self        fleet.Instance // An empty PeerAddr is replaced by the listening address.
 	Fleet       string
-	Listen      string    // IP number and port.
+	Listen      string    // IP address and port.
 	TLS         *TLSFiles // nil for plaintext on loopback.
 	Resolve     func(fleet.Ref) (fleet.Instance, bool)
 	Deliver     func(from fleet.Ref, e wire.Envelope)
-	LinkBlocked func(to fleet.Ref) bool // Faults for tests and the demo; nil for none.
-	// Forwarders returns instances that may pass a message on while the direct link fails, in the
-	// order in which they are tried; none when to is not believed alive. Nil for none.
+	LinkBlocked func(to fleet.Ref) bool // Reports whether the link to an instance drops every message, to inject faults; may be nil.
+	// Forwarders returns the instances that may forward a message while the direct link is
+	// failing, in the order in which they are tried, or none if the receiver is not considered
+	// alive. It may be nil.
 	Forwarders func(to fleet.Ref) []fleet.Ref
 	Log        *slog.Logger
 }
 
-// Links are the peer links of one instance.
+// Links are the peer links of an instance. They are safe for concurrent use.
 type Links struct {
 	cfg         Config
 	credentials *credentials
@@ -52,9 +53,9 @@
 	ctx  context.Context
 	wait conc.WaitGroup
 
-	mu    sync.Mutex
-	out   map[fleet.Ref]*link
-	heard map[fleet.Ref]fleet.Instance // Peers by the Hello they sent.
+	mu         sync.Mutex
+	outgoing   map[fleet.Ref]*link
+	helloPeers map[fleet.Ref]fleet.Instance // As described by the Hello that they sent.
 }
 
 // Hello is the first message on each link.
@@ -63,14 +64,15 @@
 	From  fleet.Instance `cbor:"2,keyasint"`
 }
 
-// New checks the configuration and listens. It returns ErrPlaintext for an address outside loopback without TLS.
+// New checks the configuration and listens. It returns ErrPlaintext if the address is outside
+// loopback and TLS is off.
 func New(cfg Config) (*Links, error) {
 	l := &Links{
-		cfg:   cfg,
-		out:   make(map[fleet.Ref]*link),
-		heard: make(map[fleet.Ref]fleet.Instance),
+		cfg:        cfg,
+		outgoing:   make(map[fleet.Ref]*link),
+		helloPeers: make(map[fleet.Ref]fleet.Instance),
 	}
-	if err := l.provisionTLS(); err != nil {
+	if err := l.setUpTLS(); err != nil {
 		return nil, err
 	}
 	listener, err := net.Listen("tcp", cfg.Listen)
@@ -90,17 +92,17 @@
 	return l, nil
 }
 
-// Self returns the instance as its peers see it.
+// Self returns the instance as it introduces itself to its peers.
 func (l *Links) Self() fleet.Instance {
 	return l.cfg.Self
 }
 
-// Close stops listening. It is for links that were never run.
+// Close closes the listener of links that were never run.
 func (l *Links) Close() error {
 	return l.listener.Close()
 }
 
-func (l *Links) provisionTLS() error {
+func (l *Links) setUpTLS() error {
 	if l.cfg.TLS == nil {
 		l.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		return checkPlaintext(l.cfg.Listen)
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// Run accepts links and keeps the outgoing ones until ctx ends.
+// Run accepts incoming links and runs the outgoing ones until ctx ends.
 func (l *Links) Run(ctx context.Context) error {
 	l.mu.Lock()
 	l.ctx = ctx
@@ -141,17 +143,19 @@
 	return server.Serve(l.listener)
 }
 
-// Addr returns the address that the links listen on.
+// Addr returns the listening address.
 func (l *Links) Addr() string {
 	return l.listener.Addr().String()
 }
 
-// Send queues a message for one life of an instance. It never blocks; the message may be lost.
+// Send queues a message for one incarnation of an instance. It never blocks. Delivery is not
+// guaranteed.
 func (l *Links) Send(to fleet.Ref, kind wire.Kind, body any) {
 	l.TrySend(to, kind, body)
 }
 
-// TrySend does the same as Send and reports whether the message was queued for an instance whose address is known.
+// TrySend is like Send, but reports whether the message was queued. It is not queued if it
+// is too large, the queue is full or the address of the next hop is unknown.
 func (l *Links) TrySend(to fleet.Ref, kind wire.Kind, body any) bool {
 	data, err := wire.Encode(kind, body)
 	if err != nil || len(data) > wire.MaxEnvelopeBytes {
@@ -160,23 +164,24 @@
 		return false
 	}
 	if l.Failing(to) {
-		return l.offerVia(to, kind, data)
+		return l.sendVia(to, kind, data)
 	}
-	return l.offerDirect(to, item{kind: kind, data: data})
+	return l.sendDirect(to, item{kind: kind, data: data})
 }
 
-// offerDirect queues a message for the link to its receiver.
-func (l *Links) offerDirect(to fleet.Ref, it item) bool {
-	dropped, taken := l.enqueue(to, it)
+// sendDirect queues a message for the direct link to an instance.
+func (l *Links) sendDirect(to fleet.Ref, it item) bool {
+	dropped, queued := l.enqueue(to, it)
 	l.count.dropped.Add(int64(dropped))
-	if !taken {
+	if !queued {
 		l.count.dropped.Add(1)
 	}
-	return taken
+	return queued
 }
 
-// enqueue holds the lock while it pushes, so that an idle link is not retired with the message in its queue.
-func (l *Links) enqueue(to fleet.Ref, it item) (dropped int, taken bool) {
+// enqueue holds the lock during the push, so that an idle link is not removed with the message
+// in its queue.
+func (l *Links) enqueue(to fleet.Ref, it item) (dropped int, queued bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.linkTo(to)
@@ -186,15 +191,17 @@
 	return k.queue.push(it)
 }
 
-// Up reports whether the link to one life of an instance is established. A link that was never used is not up.
+// Up reports whether the link to one incarnation of an instance is established. An unused link
+// is not up.
 func (l *Links) Up(to fleet.Ref) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.out[to]
+	k := l.outgoing[to]
 	return k != nil && k.up.Load()
 }
 
-// Failing reports whether the last attempts to reach an instance have failed.
+// Failing reports whether the instance's address is unknown, or its link was dialed before and
+// is not established now.
 func (l *Links) Failing(to fleet.Ref) bool {
 	_, known := l.resolve(to)
 	if !known {
@@ -202,14 +209,14 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.out[to]
-	return k != nil && k.tried.Load() && !k.up.Load()
+	k := l.outgoing[to]
+	return k != nil && k.dialed.Load() && !k.up.Load()
 }
 
-// linkTo returns the link to an instance, started when there is none; nil when its
-// address is not known. The lock is held.
+// linkTo returns the link to an instance and starts it if there is none. It returns nil if the
+// address is unknown or the links are not running. l.mu must be held.
 func (l *Links) linkTo(to fleet.Ref) *link {
-	if k := l.out[to]; k != nil {
+	if k := l.outgoing[to]; k != nil {
 		return k
 	}
 	if l.ctx == nil || l.ctx.Err() != nil {
@@ -219,34 +226,34 @@
 		return nil
 	}
 	k := &link{links: l, to: to, queue: newQueue()}
-	l.out[to] = k
+	l.outgoing[to] = k
 	ctx := l.ctx
 	l.wait.Go(func() { k.run(ctx) })
 	return k
 }
 
-// retire forgets an idle link, unless a message has come for it meanwhile.
-func (l *Links) retire(k *link) bool {
+// removeIfIdle removes an idle link unless a message has been queued in the meantime.
+func (l *Links) removeIfIdle(k *link) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if k.queue.length() > 0 {
 		return false
 	}
-	delete(l.out, k.to)
+	delete(l.outgoing, k.to)
 	return true
 }
 
-// forget removes a link that has ended, with what is queued.
-func (l *Links) forget(k *link) {
+// removeLink removes an ended link and drops its queued messages.
+func (l *Links) removeLink(k *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.count.dropped.Add(int64(k.queue.clear()))
-	if l.out[k.to] == k {
-		delete(l.out, k.to)
+	if l.outgoing[k.to] == k {
+		delete(l.outgoing, k.to)
 	}
 }
 
-// resolve returns the address of an instance from the roster, or from the Hello that it sent.
+// resolve looks an instance up by Config.Resolve, and then among the peers that sent a Hello.
 func (l *Links) resolve(to fleet.Ref) (fleet.Instance, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -257,7 +264,7 @@
 	if in, ok := l.cfg.Resolve(to); ok {
 		return in, true
 	}
-	in, ok := l.heard[to]
+	in, ok := l.helloPeers[to]
 	return in, ok
 }
 
@@ -284,16 +291,16 @@
 	return conn, nil
 }
 
-// shutdownGrace is how long Flush waits between looks at the queues.
-const shutdownGrace = 10 * time.Millisecond
+// flushPollInterval is the time between checks of the queues in Flush.
+const flushPollInterval = 10 * time.Millisecond
 
-// Flush waits until every queue is empty or ctx ends.
+// Flush waits until the queues of all established links are empty or ctx ends.
 func (l *Links) Flush(ctx context.Context) {
 	for l.queued() > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(shutdownGrace):
+		case <-time.After(flushPollInterval):
 		}
 	}
 }
@@ -302,7 +309,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	total := 0
-	for _, k := range l.out {
+	for _, k := range l.outgoing {
 		if k.up.Load() {
 			total += k.queue.length()
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,32 +21,33 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// note is the body of the test messages.
-type note struct {
+// testMessage is the body of the messages in tests.
+type testMessage struct {
 	Number int `cbor:"1,keyasint"`
 }
 
-// book resolves the instances of one test.
-type book struct {
+// registry resolves the instances of a test.
+type registry struct {
 	mu   sync.Mutex
 	byID map[fleet.Ref]fleet.Instance
 }
 
-func (b *book) resolve(r fleet.Ref) (fleet.Instance, bool) {
+func (b *registry) resolve(r fleet.Ref) (fleet.Instance, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	in, ok := b.byID[r]
 	return in, ok
 }
 
-func (b *book) add(in fleet.Instance) {
+func (b *registry) add(in fleet.Instance) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.byID[in.Ref] = in
 }
 
-// startLinks runs links of one instance until the test ends. Delivered messages go to the channel.
-func startLinks(t *testing.T, b *book, id fleet.InstanceID, change func(*Config)) (*Links, chan fleet.Ref) {
+// startLinks runs the links of an instance until the test ends. The channel receives the
+// senders of delivered messages.
+func startLinks(t *testing.T, b *registry, id fleet.InstanceID, change func(*Config)) (*Links, chan fleet.Ref) {
 	t.Helper()
 	received := make(chan fleet.Ref, 100)
 	ref := fleet.Ref{ID: id, Incarnation: 1}
@@ -69,7 +70,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- l.Run(ctx) }()
-	for l.TrySend(ref, wire.KindMembership, note{}) == false {
+	for l.TrySend(ref, wire.KindMembership, testMessage{}) == false {
 		time.Sleep(time.Millisecond)
 	}
 	<-received
@@ -82,22 +83,22 @@
 	return l, received
 }
 
-func TestMessagesArriveWithTheirSender(t *testing.T) {
-	b := &book{byID: map[fleet.Ref]fleet.Instance{}}
+func TestMessagesArriveWithSender(t *testing.T) {
+	b := &registry{byID: map[fleet.Ref]fleet.Instance{}}
 	a, _ := startLinks(t, b, "a", nil)
 	other, received := startLinks(t, b, "b", nil)
-	a.Send(other.cfg.Self.Ref, wire.KindClaim, note{Number: 1})
+	a.Send(other.cfg.Self.Ref, wire.KindClaim, testMessage{Number: 1})
 	if from := <-received; from != a.cfg.Self.Ref {
 		t.Fatalf("message from %s, want %s", from, a.cfg.Self.Ref)
 	}
 }
 
-func TestPeerOfAnotherFleetIsRefusedAndCounted(t *testing.T) {
-	b := &book{byID: map[fleet.Ref]fleet.Instance{}}
-	stranger, _ := startLinks(t, b, "a", func(c *Config) { c.Fleet = "other" })
+func TestPeerOfAnotherFleetIsRejectedAndCounted(t *testing.T) {
+	b := &registry{byID: map[fleet.Ref]fleet.Instance{}}
+	foreign, _ := startLinks(t, b, "a", func(c *Config) { c.Fleet = "other" })
 	other, received := startLinks(t, b, "b", nil)
 	for other.Stats().OtherFleet == 0 {
-		stranger.Send(other.cfg.Self.Ref, wire.KindClaim, note{})
+		foreign.Send(other.cfg.Self.Ref, wire.KindClaim, testMessage{})
 		time.Sleep(time.Millisecond)
 	}
 	if len(received) != 0 {
@@ -105,8 +106,8 @@
 	}
 }
 
-func TestMalformedMessageIsCountedAndTheLinkGoesOn(t *testing.T) {
-	b := &book{byID: map[fleet.Ref]fleet.Instance{}}
+func TestMalformedMessageIsCountedAndLinkStaysOpen(t *testing.T) {
+	b := &registry{byID: map[fleet.Ref]fleet.Instance{}}
 	a, _ := startLinks(t, b, "a", nil)
 	other, received := startLinks(t, b, "b", nil)
 	to := other.cfg.Self.Ref
@@ -114,39 +115,39 @@
 	k := a.linkTo(to)
 	k.queue.push(item{kind: wire.KindClaim, data: []byte{0xff, 0x00}})
 	a.mu.Unlock()
-	a.Send(to, wire.KindClaim, note{Number: 2})
+	a.Send(to, wire.KindClaim, testMessage{Number: 2})
 	<-received
 	if got := other.Stats().Malformed; got != 1 {
 		t.Fatalf("malformed messages counted: %d, want 1", got)
 	}
 }
 
-func TestBlockedDirectionLosesMessagesAndTheOtherDirectionWorks(t *testing.T) {
-	b := &book{byID: map[fleet.Ref]fleet.Instance{}}
+func TestBlockedDirectionDropsMessagesAndReverseDirectionWorks(t *testing.T) {
+	b := &registry{byID: map[fleet.Ref]fleet.Instance{}}
 	blocked := fleet.Ref{ID: "b", Incarnation: 1}
 	a, receivedByA := startLinks(t, b, "a", func(c *Config) {
 		c.LinkBlocked = func(to fleet.Ref) bool { return to == blocked }
 	})
 	other, received := startLinks(t, b, "b", nil)
-	a.Send(blocked, wire.KindClaim, note{})
-	other.Send(a.cfg.Self.Ref, wire.KindClaim, note{})
+	a.Send(blocked, wire.KindClaim, testMessage{})
+	other.Send(a.cfg.Self.Ref, wire.KindClaim, testMessage{})
 	<-receivedByA
 	for !a.Failing(blocked) {
 		time.Sleep(time.Millisecond)
 	}
 	if len(received) != 0 {
-		t.Fatal("a message crossed a blocked direction")
+		t.Fatal("a message was delivered over a blocked link")
 	}
 }
 
-func TestPlaintextOutsideLoopbackIsRefused(t *testing.T) {
+func TestPlaintextOutsideLoopbackIsRejected(t *testing.T) {
 	_, err := New(Config{Listen: "192.0.2.1:0", Fleet: "test"})
 	if !errors.Is(err, ErrPlaintext) {
 		t.Fatalf("got %v, want %v", err, ErrPlaintext)
 	}
 }
 
-func TestQueueSupersedesStateAndKeepsRequests(t *testing.T) {
+func TestQueueDropsOldestStateAndKeepsRequests(t *testing.T) {
 	q := newQueue()
 	for i := range maxQueuedState + 3 {
 		q.push(item{kind: wire.KindEvidence, data: []byte{byte(i)}})
@@ -161,14 +162,14 @@
 		}
 	}
 	if len(evidence) != maxQueuedState || evidence[0] != 3 {
-		t.Errorf("evidence left: %v, want the newest %d", evidence, maxQueuedState)
+		t.Errorf("queued evidence: %v, want the newest %d", evidence, maxQueuedState)
 	}
 	if len(claims) != maxQueuedState+3 {
-		t.Errorf("claims left: %d, want %d", len(claims), maxQueuedState+3)
+		t.Errorf("queued claims: %d, want %d", len(claims), maxQueuedState+3)
 	}
 }
 
-// authority signs the certificates of one test.
+// authority is a certificate authority for tests.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -229,20 +230,20 @@
 	}
 }
 
-func TestMutualTLSTakesPeersThatProveThemselves(t *testing.T) {
+func TestMutualTLSAcceptsValidPeer(t *testing.T) {
 	ca := newAuthority(t)
-	b := &book{byID: map[fleet.Ref]fleet.Instance{}}
+	b := &registry{byID: map[fleet.Ref]fleet.Instance{}}
 	a, _ := startLinks(t, b, "a", func(c *Config) { c.TLS = ca.files(t, "a") })
 	other, received := startLinks(t, b, "b", func(c *Config) { c.TLS = ca.files(t, "b") })
-	a.Send(other.cfg.Self.Ref, wire.KindClaim, note{})
+	a.Send(other.cfg.Self.Ref, wire.KindClaim, testMessage{})
 	if from := <-received; from != a.cfg.Self.Ref {
 		t.Fatalf("message from %s, want %s", from, a.cfg.Self.Ref)
 	}
 }
 
-func TestMutualTLSRefusesAnotherInstancesCertificate(t *testing.T) {
+func TestMutualTLSRejectsCertificateOfAnotherInstance(t *testing.T) {
 	ca := newAuthority(t)
-	b := &book{byID: map[fleet.Ref]fleet.Instance{}}
+	b := &registry{byID: map[fleet.Ref]fleet.Instance{}}
 	good, received := startLinks(t, b, "b", func(c *Config) { c.TLS = ca.files(t, "b") })
 	impostor, err := New(Config{
 		Self: fleet.Instance{Ref: fleet.Ref{ID: "a", Incarnation: 1}}, Fleet: "test", Listen: "127.0.0.1:0",
@@ -256,11 +257,11 @@
 	done := make(chan error, 1)
 	go func() { done <- impostor.Run(ctx) }()
 	for good.Stats().Refused == 0 {
-		impostor.Send(good.cfg.Self.Ref, wire.KindClaim, note{})
+		impostor.Send(good.cfg.Self.Ref, wire.KindClaim, testMessage{})
 		time.Sleep(time.Millisecond)
 	}
 	if len(received) != 0 {
-		t.Fatal("a message of an instance that did not prove itself was delivered")
+		t.Fatal("a message of an instance with a wrong certificate was delivered")
 	}
 	cancel()
 	if err := <-done; err != nil {
@@ -268,53 +269,53 @@
 	}
 }
 
-func TestMessagesTakeTheWayOverAThirdInstanceWhileTheDirectLinkFails(t *testing.T) {
-	b := &book{byID: map[fleet.Ref]fleet.Instance{}}
+func TestMessagesAreForwardedWhileDirectLinkFails(t *testing.T) {
+	b := &registry{byID: map[fleet.Ref]fleet.Instance{}}
 	third := fleet.Ref{ID: "c", Incarnation: 1}
 	blocked := fleet.Ref{ID: "b", Incarnation: 1}
-	passer, receivedByThird := startLinks(t, b, "c", nil)
+	forwarder, receivedByForwarder := startLinks(t, b, "c", nil)
 	_, received := startLinks(t, b, "b", nil)
 	a, _ := startLinks(t, b, "a", func(c *Config) {
 		c.LinkBlocked = func(to fleet.Ref) bool { return to == blocked }
 		c.Forwarders = func(fleet.Ref) []fleet.Ref { return []fleet.Ref{third} }
 	})
-	a.Send(blocked, wire.KindMembership, note{})
+	a.Send(blocked, wire.KindMembership, testMessage{})
 	for !a.Failing(blocked) {
 		time.Sleep(time.Millisecond)
 	}
 	if a.Unreachable(blocked) {
-		t.Fatal("an instance with a way over a third one is reported unreachable")
+		t.Fatal("an instance reachable by a forwarder is reported unreachable")
 	}
-	a.Send(blocked, wire.KindClaim, note{Number: 1})
+	a.Send(blocked, wire.KindClaim, testMessage{Number: 1})
 	if from := <-received; from != a.cfg.Self.Ref {
 		t.Fatalf("forwarded message from %s, want %s", from, a.cfg.Self.Ref)
 	}
-	if len(receivedByThird) != 0 || passer.Stats().Forwarded != 1 {
-		t.Fatalf("third instance delivered %d and forwarded %d, want 0 and 1", len(receivedByThird), passer.Stats().Forwarded)
+	if len(receivedByForwarder) != 0 || forwarder.Stats().Forwarded != 1 {
+		t.Fatalf("forwarder delivered %d and forwarded %d, want 0 and 1", len(receivedByForwarder), forwarder.Stats().Forwarded)
 	}
-	a.Send(blocked, wire.KindMembership, note{})
-	a.Send(third, wire.KindClaim, note{})
-	<-receivedByThird
+	a.Send(blocked, wire.KindMembership, testMessage{})
+	a.Send(third, wire.KindClaim, testMessage{})
+	<-receivedByForwarder
 	if len(received) != 0 {
-		t.Fatal("a heartbeat took the way over a third instance")
+		t.Fatal("a heartbeat was forwarded by a third instance")
 	}
 }
 
-func TestAForwardedMessageOfAnotherSenderIsNotPassedOn(t *testing.T) {
-	b := &book{byID: map[fleet.Ref]fleet.Instance{}}
-	passer, _ := startLinks(t, b, "c", nil)
+func TestForwardedMessageWithForgedSenderIsDropped(t *testing.T) {
+	b := &registry{byID: map[fleet.Ref]fleet.Instance{}}
+	forwarder, _ := startLinks(t, b, "c", nil)
 	victim, received := startLinks(t, b, "b", nil)
 	a, _ := startLinks(t, b, "a", nil)
-	inner, err := wire.Encode(wire.KindClaim, note{})
+	inner, err := wire.Encode(wire.KindClaim, testMessage{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	forged := Forward{From: fleet.Ref{ID: "d", Incarnation: 1}, To: victim.cfg.Self.Ref, Envelope: inner}
-	a.Send(passer.cfg.Self.Ref, wire.KindForward, forged)
-	for passer.Stats().Dropped == 0 {
+	a.Send(forwarder.cfg.Self.Ref, wire.KindForward, forged)
+	for forwarder.Stats().Dropped == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if len(received) != 0 || passer.Stats().Forwarded != 0 {
-		t.Fatal("a message with another sender's name was passed on")
+	if len(received) != 0 || forwarder.Stats().Forwarded != 0 {
+		t.Fatal("a message with a forged sender was forwarded")
 	}
 }
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -6,33 +6,33 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// Bounds of the queue of one link.
+// Limits of a link's queue.
 const (
 	maxQueuedMessages = 4096
 	maxQueuedBytes    = 16 << 20
-	maxQueuedState    = 16 // Messages of one kind of state.
+	maxQueuedState    = 16 // Messages of each kind for which keepsNewest is true.
 )
 
-// item is one encoded message that waits for its link.
+// item is an encoded message in a queue.
 type item struct {
 	kind wire.Kind
 	data []byte
 }
 
-// queue holds the messages of one link, oldest first. It is safe for concurrent use.
+// queue is the send queue of a link, oldest message first. It is safe for concurrent use.
 type queue struct {
 	mu    sync.Mutex
 	items []item
 	bytes int
-	ready chan struct{} // Holds one token while items may be non-empty.
+	ready chan struct{} // Signals that items may be non-empty.
 }
 
 func newQueue() *queue {
 	return &queue{ready: make(chan struct{}, 1)}
 }
 
-// supersedes reports whether only the newest messages of the kind matter.
-func supersedes(kind wire.Kind) bool {
+// keepsNewest reports whether messages of the kind carry state, of which only the newest matter.
+func keepsNewest(kind wire.Kind) bool {
 	switch kind {
 	case wire.KindMembership, wire.KindListing, wire.KindEvidence, wire.KindVerdict:
 		return true
@@ -41,12 +41,13 @@
 	}
 }
 
-// push adds a message and returns how many older ones it displaced, and whether it was taken.
-func (q *queue) push(it item) (dropped int, taken bool) {
+// push appends a message. It returns how many older ones were dropped for it, and whether the
+// message was queued.
+func (q *queue) push(it item) (dropped int, queued bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if supersedes(it.kind) {
-		dropped = q.trim(it.kind)
+	if keepsNewest(it.kind) {
+		dropped = q.dropOldest(it.kind)
 	}
 	if len(q.items) >= maxQueuedMessages || q.bytes+len(it.data) > maxQueuedBytes {
 		return dropped, false
@@ -60,8 +61,9 @@
 	return dropped, true
 }
 
-// trim removes the oldest message of a kind of state when the kind is at its bound.
-func (q *queue) trim(kind wire.Kind) int {
+// dropOldest removes the oldest message of a kind if the queue holds maxQueuedState of them. It
+// returns the number of removed messages.
+func (q *queue) dropOldest(kind wire.Kind) int {
 	count := 0
 	oldest := -1
 	for i, it := range q.items {
@@ -81,7 +83,7 @@
 	return 1
 }
 
-// pop returns the oldest message.
+// pop removes and returns the oldest message.
 func (q *queue) pop() (item, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -95,7 +97,7 @@
 	return it, true
 }
 
-// clear drops everything and returns how many messages there were.
+// clear drops all messages and returns their number.
 func (q *queue) clear() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -105,7 +107,7 @@
 	return count
 }
 
-// length returns how many messages wait.
+// length returns the number of queued messages.
 func (q *queue) length() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -2,14 +2,14 @@
 
 import "expvar"
 
-// counters are the expvar metrics of the links.
+// counters are the counters behind Stats.
 type counters struct {
 	sent, sentBytes, dropped, received, receivedBytes expvar.Int
 	refused, malformed, otherFleet, dialFailed        expvar.Int
 	forwarded                                         expvar.Int
 }
 
-// Stats are the counters of the links since the start.
+// Stats are the counters of the links since they were created.
 type Stats struct {
 	Sent          int64 `json:"sent"`
 	SentBytes     int64 `json:"sent_bytes"`
@@ -20,14 +20,14 @@
 	Malformed     int64 `json:"malformed"`
 	OtherFleet    int64 `json:"other_fleet"`
 	DialFailed    int64 `json:"dial_failed"`
-	Forwarded     int64 `json:"forwarded"` // Passed on for others.
+	Forwarded     int64 `json:"forwarded"` // Messages forwarded for other instances.
 	Links         int   `json:"links"`
 }
 
-// Stats returns the counters.
+// Stats returns the current counters.
 func (l *Links) Stats() Stats {
 	l.mu.Lock()
-	links := len(l.out)
+	links := len(l.outgoing)
 	l.mu.Unlock()
 	return Stats{
 		Sent:          l.count.sent.Value(),
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// ErrPlaintext says that an address outside loopback was to be used without TLS.
+// ErrPlaintext reports that an address outside loopback was to be used without TLS.
 var ErrPlaintext = errors.New("plaintext peer links are for loopback addresses only")
 
-// certificateCheckInterval bounds how often the certificate files are looked at.
+// certificateCheckInterval is the minimum time between checks of the certificate files for changes.
 const certificateCheckInterval = 5 * time.Second
 
-// TLSFiles names the files of mutual TLS, in PEM. They are read again when they change.
+// TLSFiles names the PEM files for mutual TLS. They are reloaded when they change.
 type TLSFiles struct {
 	Certificate string
 	Key         string
-	Authority   string // Certificates that peers' certificates must chain to.
+	Authority   string // Root certificates for peers' certificates.
 }
 
-// credentials holds what TLSFiles hold now.
+// credentials holds the loaded contents of TLSFiles.
 type credentials struct {
 	files TLSFiles
 
@@ -35,7 +35,7 @@
 	authority   *x509.CertPool
 }
 
-// loadCredentials reads the files once, so that a fault shows at start.
+// loadCredentials loads the files, so that invalid ones are reported at start.
 func loadCredentials(files TLSFiles) (*credentials, error) {
 	c := &credentials{files: files}
 	if err := c.read(); err != nil {
@@ -55,16 +55,16 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return fmt.Errorf("authority %q holds no certificate", c.files.Authority)
+		return fmt.Errorf("authority file %q contains no certificate", c.files.Authority)
 	}
 	c.certificate = certificate
 	c.authority = pool
-	c.modified = c.newest()
+	c.modified = c.latestModTime()
 	return nil
 }
 
 // newest returns the latest modification time of the files, or zero when one cannot be read.
-func (c *credentials) newest() time.Time {
+func (c *credentials) latestModTime() time.Time {
 	var latest time.Time
 	for _, name := range []string{c.files.Certificate, c.files.Key, c.files.Authority} {
 		info, err := os.Stat(name)
@@ -78,21 +78,21 @@
 	return latest
 }
 
-// current returns the certificate and the authority, read again when the files have
-// changed. Files that do not load leave the last good ones in force.
+// current returns the certificate and the authority, and reloads them if the files have
+// changed. If loading fails, the previous ones stay in use.
 func (c *credentials) current(now time.Time) (tls.Certificate, *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now.Sub(c.checked) >= certificateCheckInterval {
 		c.checked = now
-		if !c.newest().Equal(c.modified) {
+		if !c.latestModTime().Equal(c.modified) {
 			_ = c.read()
 		}
 	}
 	return c.certificate, c.authority
 }
 
-// server returns the configuration of the listening side, which asks for the peer's certificate.
+// server returns the server configuration, which requires a client certificate.
 func (c *credentials) server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -108,14 +108,14 @@
 	}
 }
 
-// client returns the configuration for dialling the instance named id.
+// client returns the client configuration for dialing the instance named id.
 func (c *credentials) client(id string) *tls.Config {
 	certificate, authority := c.current(time.Now())
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{certificate},
-		// The chain is verified below against the authority. Addresses are IP numbers that
-		// change with each replacement, so the name to check is the instance's ID.
+		// VerifyConnection verifies the chain instead. Instances are dialed by IP addresses,
+		// which change with each replacement, so the name to check is the instance's ID.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyPeer(state, authority, id)
