--- a/internal/listing/clean.go
+++ b/internal/listing/clean.go
@@ -17,25 +17,25 @@
 	dropped := 0
 	out := &metastore.Listing{Version: l.Version, Upstreams: make(map[fleet.Service][]fleet.Upstream, len(l.Upstreams))}
 	for service, upstreams := range l.Upstreams {
-		kept := slices.DeleteFunc(slices.Clone(upstreams), func(u fleet.Upstream) bool { return !usable(u) })
+		kept := slices.DeleteFunc(slices.Clone(upstreams), func(u fleet.Upstream) bool { return !usableUpstream(u) })
 		dropped += len(upstreams) - len(kept)
 		out.Upstreams[service] = kept
 	}
-	out.Instances = slices.DeleteFunc(slices.Clone(l.Instances), func(i fleet.Instance) bool { return !hasPeerAddress(i) })
+	out.Instances = slices.DeleteFunc(slices.Clone(l.Instances), func(i fleet.Instance) bool { return !usableInstance(i) })
 	dropped += len(l.Instances) - len(out.Instances)
 	return out, dropped
 }
 
-func usable(u fleet.Upstream) bool {
+func usableUpstream(u fleet.Upstream) bool {
 	addr, err := netip.ParseAddrPort(string(u.Endpoint))
 	if err != nil || addr.Port() == 0 {
 		return false
 	}
-	known := u.State == fleet.UpstreamCold || u.State == fleet.UpstreamReady || u.State == fleet.UpstreamLeaving
-	return known && u.Slots > 0 && u.Slots <= MaxSlots
+	validState := u.State == fleet.UpstreamCold || u.State == fleet.UpstreamReady || u.State == fleet.UpstreamLeaving
+	return validState && u.Slots > 0 && u.Slots <= MaxSlots
 }
 
-func hasPeerAddress(i fleet.Instance) bool {
+func usableInstance(i fleet.Instance) bool {
 	addr, err := netip.ParseAddrPort(i.PeerAddr)
 	return err == nil && addr.Port() != 0 && i.Ref.ID != ""
 }
--- a/internal/listing/duty.go
+++ b/internal/listing/duty.go
@@ -103,8 +103,8 @@
 // readIfSilent reads the list if no message has arrived in time, and every ReadInterval until
 // the first list.
 func (d *Duty) readIfSilent(now time.Time) {
-	none := d.snapshot.Load() == nil && !now.Before(d.nextRead)
-	if !none && now.Before(d.fallbackReadAt) {
+	firstReadDue := d.snapshot.Load() == nil && !now.Before(d.nextRead)
+	if !firstReadDue && now.Before(d.fallbackReadAt) {
 		return
 	}
 	d.nextRead = now.Add(d.jittered(ReadInterval))
@@ -137,8 +137,8 @@
 }
 
 func (d *Duty) jittered(interval time.Duration) time.Duration {
-	share := 1 + ReadJitter*(2*d.o.Random.Float64()-1)
-	return time.Duration(float64(interval) * share)
+	factor := 1 + ReadJitter*(2*d.o.Random.Float64()-1)
+	return time.Duration(float64(interval) * factor)
 }
 
 func (d *Duty) jitteredWatcherTimeout() time.Duration {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -23,14 +23,14 @@
 // ErrSuperseded if the instance cannot continue with this incarnation.
 func (n *Node) Run(ctx context.Context) error {
 	// The components outlive ctx, since a planned stop needs them.
-	parts, cancelParts := context.WithCancel(context.WithoutCancel(ctx))
-	defer cancelParts()
+	components, cancelComponents := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelComponents()
 	var wait conc.WaitGroup
-	wait.Go(func() { n.failOnError(n.links.Run(parts)) })
-	wait.Go(func() { n.failOnError(n.operator.Run(parts)) })
+	wait.Go(func() { n.failOnError(n.links.Run(components)) })
+	wait.Go(func() { n.failOnError(n.operator.Run(components)) })
 	wait.Go(func() { n.failOnError(n.entry.Run()) })
-	wait.Go(func() { n.loop.Run(parts) })
-	n.start(parts)
+	wait.Go(func() { n.loop.Run(components) })
+	n.start(components)
 	n.log.Info("instance started", "incarnation", n.self.Ref.Incarnation, "zone", n.self.Zone,
 		"entry", n.self.EntryAddr, "peer", n.self.PeerAddr, "operator", n.OperatorAddr())
 
@@ -40,7 +40,7 @@
 	} else {
 		n.stop(err)
 	}
-	cancelParts()
+	cancelComponents()
 	wait.Wait()
 	n.log.Info("instance stopped", "incarnation", n.self.Ref.Incarnation, "served", n.entry.Served())
 	return err
