--- a/cmd/damaskcove/processes_test.go
+++ b/cmd/damaskcove/processes_test.go
@@ -343,16 +343,16 @@
 	if err := getJSON("http://"+s.admin+upstream.PathSummary, &summary); err != nil {
 		t.Fatal(err)
 	}
-	if len(summary.Doubled) > 0 {
-		t.Errorf("orders that ran twice: %v", summary.Doubled)
+	if len(summary.Duplicated) > 0 {
+		t.Errorf("orders that ran twice: %v", summary.Duplicated)
 	}
 	if len(sum.bad) > 0 {
 		t.Errorf("answers of other requests: %v", sum.bad)
 	}
-	if ran := summary.Orders; ran < sum.answered || ran > sum.answered+sum.unsure {
+	if ran := summary.NonIdempotent; ran < sum.answered || ran > sum.answered+sum.unsure {
 		t.Errorf("upstreams ran %d orders; callers were told answered %d, unsure %d, not run %d", ran, sum.answered, sum.unsure, sum.notRun)
 	}
-	t.Logf("answered %d, not run %d, unsure %d; upstreams ran %d", sum.answered, sum.notRun, sum.unsure, summary.Orders)
+	t.Logf("answered %d, not run %d, unsure %d; upstreams ran %d", sum.answered, sum.notRun, sum.unsure, summary.NonIdempotent)
 }
 
 // awaitAnswered waits until more orders have been answered.
--- a/cmd/damaskctl/fleet_test.go
+++ b/cmd/damaskctl/fleet_test.go
@@ -37,7 +37,7 @@
 	for service, size := range set.Sizes {
 		for i := range size.Endpoints {
 			_, err := f.Host.Add(upstream.Spec{
-				Service: service, Zone: zone(i), Slots: size.SlotsPerEndpoint, Median: 2 * time.Millisecond, OrderPaths: []string{"/cuts", "/fittings"},
+				Service: service, Zone: zone(i), Slots: size.SlotsPerEndpoint, Median: 2 * time.Millisecond, NonIdempotentPaths: []string{"/cuts", "/fittings"},
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -105,7 +105,7 @@
 			t.Errorf("%v: %s %v", line, got.stdout, err)
 		}
 	}
-	if doubled := f.Host.Recorder().Summary().Doubled; len(doubled) != 0 {
+	if doubled := f.Host.Recorder().Summary().Duplicated; len(doubled) != 0 {
 		t.Errorf("doubled orders %v", doubled)
 	}
 }
--- a/cmd/damaskctl/standin_test.go
+++ b/cmd/damaskctl/standin_test.go
@@ -127,9 +127,9 @@
 		t.Fatalf("%d started, %d sent", stats[0].Started, report.Requests)
 	}
 	call(t, http.MethodPut, "http://"+admin+upstream.PathFaults+"?endpoint="+endpoint, `{"fail_share":1}`, nil)
-	call(t, http.MethodPost, "http://"+admin+upstream.PathReach+"?endpoint="+endpoint+"&from=127.0.0.1&reach=close", "", nil)
+	call(t, http.MethodPost, "http://"+admin+upstream.PathConnectivity+"?endpoint="+endpoint+"&from=127.0.0.1&reach=close", "", nil)
 	ctl(context.Background(), "load", "--direct", endpoint, "--account", "a", "--path", "/stock", "--duration", "100ms", "--warmup", "0s").want(t, exitDone, "no-answer")
-	call(t, http.MethodPost, "http://"+admin+upstream.PathLeave+"?endpoint="+endpoint, "", nil)
+	call(t, http.MethodPost, "http://"+admin+upstream.PathDrain+"?endpoint="+endpoint, "", nil)
 	for listing.Upstreams["stock"][0].State != fleet.UpstreamLeaving {
 		var err error
 		if listing, err = c.Read(context.Background()); err != nil {
--- a/cmd/damaskctl/standin_upstream.go
+++ b/cmd/damaskctl/standin_upstream.go
@@ -62,7 +62,7 @@
 		Short: "Run stand-ins of upstream endpoints, with faults that can be switched",
 		Long: `upstream runs many endpoints in one process and records how often each request started. Counts
 are told at ` + upstream.PathEndpoints + ` and ` + upstream.PathSummary + ` of the admin address; faults are switched
-at ` + upstream.PathFaults + `, and an endpoint drains at ` + upstream.PathLeave + `.`,
+at ` + upstream.PathFaults + `, and an endpoint drains at ` + upstream.PathDrain + `.`,
 		Example: "  damaskctl standin upstream --settings upstreams.toml\n" +
 			"  curl -X PUT -d '{\"slow_factor\":10}' 'http://127.0.0.1:7071" + upstream.PathFaults + "?endpoint=127.0.0.1:9001'",
 		Args: exactly(0),
@@ -117,7 +117,7 @@
 
 func runStandinUpstream(ctx context.Context, w io.Writer, s hostSettings) error {
 	changed := make(chan struct{}, 1)
-	host := upstream.NewHost(upstream.HostOptions{Seed: uint64(s.Seed), RecordLookups: s.RecordLookups, Changed: func(*upstream.Host) {
+	host := upstream.NewHost(upstream.HostOptions{Seed: uint64(s.Seed), RecordIdempotent: s.RecordLookups, OnChange: func(*upstream.Host) {
 		select {
 		case changed <- struct{}{}:
 		default:
@@ -153,7 +153,7 @@
 		}
 		_, err := host.Add(upstream.Spec{
 			Service: fleet.Service(g.Service), Zone: fleet.Zone(g.Zone), Addr: addr, Slots: g.Slots, Queue: g.Queue,
-			Median: g.Median, Spread: g.Spread, ColdStart: g.ColdStart, Lag: g.Lag, OrderPaths: g.OrderPaths,
+			Median: g.Median, Spread: g.Spread, ColdStart: g.ColdStart, Lag: g.Lag, NonIdempotentPaths: g.OrderPaths,
 		})
 		if err != nil {
 			return err
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -36,7 +36,7 @@
 
 func (e *echo) Limits() Limits { return e.limits }
 
-func (e *echo) Refuse(code result.Code, _ string, resp *fasthttp.Response) {
+func (e *echo) Reject(code result.Code, _ string, resp *fasthttp.Response) {
 	entry, _ := result.Lookup(code)
 	resp.SetStatusCode(entry.Status)
 }
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -244,7 +244,7 @@
 func (c *conn) refuse(code result.Code, detail string) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	c.server.handler.Refuse(code, detail, resp)
+	c.server.handler.Reject(code, detail, resp)
 	c.write(resp, true)
 	c.ends = true
 }
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -32,8 +32,8 @@
 type Handler interface {
 	// Serve fills in the answer. ctx ends when the caller has gone; the answer is then dropped.
 	Serve(ctx context.Context, r Request, resp *fasthttp.Response)
-	// Refuse fills in the answer to a request that could not be read.
-	Refuse(code result.Code, detail string, resp *fasthttp.Response)
+	// Reject fills in the answer to a request that could not be read.
+	Reject(code result.Code, detail string, resp *fasthttp.Response)
 	// Limits returns the bounds in force.
 	Limits() Limits
 }
--- a/internal/claims/answers.go
+++ b/internal/claims/answers.go
@@ -34,13 +34,13 @@
 	}
 	switch o.Result {
 	case claim.ResultAnswered:
-		return exchange.Refusal(result.CodeAnswerNotKept, "")
+		return exchange.Rejection(result.CodeAnswerNotKept, "")
 	case claim.ResultNotRun:
-		return exchange.Refusal(notRunCode(o.Reason), "")
+		return exchange.Rejection(notRunCode(o.Reason), "")
 	case claim.ResultRefused:
 		return refuse(o.Reason)
 	default:
-		return exchange.Refusal(unknownCode(o.Reason), "")
+		return exchange.Rejection(unknownCode(o.Reason), "")
 	}
 }
 
@@ -91,24 +91,24 @@
 func refuse(reason claim.Reason) exchange.Answer {
 	switch reason {
 	case claim.ReasonExpired:
-		return exchange.AttemptRefusal(result.CodeTicketExpired, "")
+		return exchange.AttemptRejection(result.CodeTicketExpired, "")
 	case claim.ReasonFingerprintMismatch:
-		return exchange.AttemptRefusal(result.CodeKeyReused, "")
+		return exchange.AttemptRejection(result.CodeKeyReused, "")
 	case claim.ReasonTableFull:
-		return exchange.AttemptRefusal(result.CodeClaimTableFull, "")
+		return exchange.AttemptRejection(result.CodeClaimTableFull, "")
 	case claim.ReasonStopping:
-		return exchange.AttemptRefusal(result.CodeStopping, "")
+		return exchange.AttemptRejection(result.CodeStopping, "")
 	case claim.ReasonPeerUnreachable:
-		return exchange.AttemptRefusal(result.CodeAttemptNotRun, "")
+		return exchange.AttemptRejection(result.CodeAttemptNotRun, "")
 	default:
-		return exchange.AttemptRefusal(result.CodeTicketIncarnation, "")
+		return exchange.AttemptRejection(result.CodeTicketIncarnation, "")
 	}
 }
 
 // lookupAnswer returns the answer to an outcome look-up.
 func lookupAnswer(o claim.Outcome) exchange.Answer {
 	if o.Result == claim.ResultUnknown && o.Reason == claim.ReasonPending {
-		return exchange.Refusal(result.CodeOutcomePending, "")
+		return exchange.Rejection(result.CodeOutcomePending, "")
 	}
 	return answerOf(o)
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -226,7 +226,7 @@
 func TestShedOrderIsSealed(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.runWith(func(context.Context, exchange.Request) exchange.Answer {
-			return exchange.Refusal(result.CodeShedDeadline, "")
+			return exchange.Rejection(result.CodeShedDeadline, "")
 		})
 		r := f.request("a")
 		for _, at := range []fleet.Ref{third, home, witness} {
@@ -240,7 +240,7 @@
 	runs := map[string]func(context.Context, exchange.Request) exchange.Answer{
 		"panic": func(context.Context, exchange.Request) exchange.Answer { panic("executor") },
 		"cut off": func(context.Context, exchange.Request) exchange.Answer {
-			return exchange.Refusal(result.CodeAnswerCutOff, "")
+			return exchange.Rejection(result.CodeAnswerCutOff, "")
 		},
 		"no state": func(context.Context, exchange.Request) exchange.Answer { return exchange.Answer{Status: 200} },
 	}
--- a/internal/claims/key.go
+++ b/internal/claims/key.go
@@ -60,13 +60,13 @@
 func refuseKey(err error) exchange.Answer {
 	switch {
 	case errors.Is(err, claim.ErrExpired):
-		return exchange.AttemptRefusal(result.CodeTicketExpired, err.Error())
+		return exchange.AttemptRejection(result.CodeTicketExpired, err.Error())
 	case errors.Is(err, claim.ErrOtherFleet):
-		return exchange.AttemptRefusal(result.CodeTicketOtherFleet, err.Error())
+		return exchange.AttemptRejection(result.CodeTicketOtherFleet, err.Error())
 	case errors.Is(err, claim.ErrForged), errors.Is(err, claim.ErrUnknownSigningKey):
-		return exchange.AttemptRefusal(result.CodeTicketForged, err.Error())
+		return exchange.AttemptRejection(result.CodeTicketForged, err.Error())
 	default:
-		return exchange.AttemptRefusal(result.CodeTicketMalformed, err.Error())
+		return exchange.AttemptRejection(result.CodeTicketMalformed, err.Error())
 	}
 }
 
--- a/internal/claims/local.go
+++ b/internal/claims/local.go
@@ -35,7 +35,7 @@
 	w := &waiter{outcome: make(chan claim.Outcome, 1)}
 	posted := c.loop.Post(func(now time.Time) { c.submit(ctx, now, role, r, s, w) })
 	if !posted {
-		return exchange.AttemptRefusal(result.CodeStopping, "")
+		return exchange.AttemptRejection(result.CodeStopping, "")
 	}
 	select {
 	case o := <-w.outcome:
@@ -64,9 +64,9 @@
 // endedAnswer returns the answer to a caller whose context has ended.
 func endedAnswer(ctx context.Context) exchange.Answer {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return exchange.Refusal(result.CodeCallerGone, "")
+		return exchange.Rejection(result.CodeCallerGone, "")
 	}
-	return exchange.Refusal(result.CodeOutcomeUnknown, "")
+	return exchange.Rejection(result.CodeOutcomeUnknown, "")
 }
 
 func (c *Claims) submit(ctx context.Context, now time.Time, role claim.Role, r exchange.Request, s claim.Submission, w *waiter) {
--- a/internal/claims/route.go
+++ b/internal/claims/route.go
@@ -68,7 +68,7 @@
 		return claim.Submission{}, refuseKey(err), false
 	}
 	if ticket.Account != r.Account || ticket.Service != r.Service {
-		return claim.Submission{}, exchange.AttemptRefusal(result.CodeTicketOtherAccount, ""), false
+		return claim.Submission{}, exchange.AttemptRejection(result.CodeTicketOtherAccount, ""), false
 	}
 	s = claim.Submission{Key: key, Ticket: ticket, Fingerprint: fingerprint(r), Deadline: r.Deadline}
 	return s, exchange.Answer{}, true
@@ -103,7 +103,7 @@
 		case err == nil:
 			return a
 		case errors.Is(err, relay.ErrUnreachable):
-			return exchange.Refusal(result.CodeAttemptNotRun, "")
+			return exchange.Rejection(result.CodeAttemptNotRun, "")
 		default:
 			return endedAnswer(ctx)
 		}
@@ -184,7 +184,7 @@
 	if allDeclined || !declined(best) {
 		return best
 	}
-	return exchange.Refusal(result.CodeOutcomeUnknown, "")
+	return exchange.Rejection(result.CodeOutcomeUnknown, "")
 }
 
 // rank orders answers by how much they say of the key.
--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -26,11 +26,11 @@
 // ledger is what the callers were told.
 type ledger struct {
 	mu      sync.Mutex
-	beliefs []upstream.Belief
+	beliefs []upstream.CallerResult
 	mixed   int
 }
 
-func (l *ledger) add(b upstream.Belief, mixed bool) {
+func (l *ledger) add(b upstream.CallerResult, mixed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.beliefs = append(l.beliefs, b)
@@ -97,10 +97,10 @@
 	r := s.request(id)
 	a, err := c.Do(ctx, r)
 	told, mixed := judge(a, err, r, id)
-	if s.order && told == upstream.ToldUnknown {
+	if s.order && told == upstream.OutcomeUnknown {
 		told, mixed = s.askOutcome(c, r, id, keyOf(a, err))
 	}
-	s.ledger.add(upstream.Belief{ID: id, Order: s.order, Told: told}, mixed)
+	s.ledger.add(upstream.CallerResult{ID: id, NonIdempotent: s.order, Outcome: told}, mixed)
 }
 
 // keyOf returns the idempotency key that a request was sent with.
@@ -113,38 +113,38 @@
 }
 
 // askOutcome asks what came of an order whose caller is unsure.
-func (s *stream) askOutcome(c *client.Client, r client.Request, id, key string) (upstream.Told, bool) {
+func (s *stream) askOutcome(c *client.Client, r client.Request, id, key string) (upstream.Outcome, bool) {
 	for range outcomeTries {
 		ctx, cancel := context.WithTimeout(context.Background(), s.firm.deadline(s.service))
 		a, err := c.Outcome(ctx, s.service, key)
 		cancel()
-		if told, mixed := judge(a, err, r, id); told != upstream.ToldUnknown {
+		if told, mixed := judge(a, err, r, id); told != upstream.OutcomeUnknown {
 			return told, mixed
 		}
 	}
-	return upstream.ToldUnknown, false
+	return upstream.OutcomeUnknown, false
 }
 
 // judge returns what a caller was told, and whether the answer was another request's.
-func judge(a client.Answer, err error, r client.Request, id string) (told upstream.Told, mixed bool) {
+func judge(a client.Answer, err error, r client.Request, id string) (told upstream.Outcome, mixed bool) {
 	var none *client.NoAnswerError
 	switch {
 	case errors.As(err, &none) && none.Execution == client.ExecutionNotRun, errors.Is(err, client.ErrNoEntry):
-		return upstream.ToldNotRun, false
+		return upstream.OutcomeNotRun, false
 	case errors.As(err, &none):
-		return upstream.ToldUnknown, false
+		return upstream.OutcomeUnknown, false
 	case err != nil:
-		return upstream.ToldNothing, false
+		return upstream.OutcomeNone, false
 	}
 	switch a.Execution {
 	case client.ExecutionRan:
-		return upstream.ToldAnswered, !own(a, r, id)
+		return upstream.OutcomeAnswered, !own(a, r, id)
 	case client.ExecutionNotRun:
-		return upstream.ToldNotRun, false
+		return upstream.OutcomeNotRun, false
 	case client.ExecutionUnknown:
-		return upstream.ToldUnknown, false
+		return upstream.OutcomeUnknown, false
 	default:
-		return upstream.ToldNothing, false
+		return upstream.OutcomeNone, false
 	}
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -196,15 +196,15 @@
 	report.RefusedNotRun += audit.NotRun
 	report.Unknown += audit.Unknown
 	report.Lost += audit.Lost
-	report.Doubled += audit.Doubled
+	report.Doubled += audit.Duplicated
 	report.FalseNotRun += audit.FalseNotRun
-	report.Broken = append(report.Broken, audit.Broken...)
+	report.Broken = append(report.Broken, audit.Violations...)
 	report.UpstreamStarts += recorder.Summary().Starts
 }
 
 // beliefsOf returns the beliefs of one firm's callers, whose IDs begin with its name.
-func (r *run) beliefsOf(f *firm) []upstream.Belief {
-	var own []upstream.Belief
+func (r *run) beliefsOf(f *firm) []upstream.CallerResult {
+	var own []upstream.CallerResult
 	for _, b := range r.ledger.beliefs {
 		if strings.HasPrefix(b.ID, string(f.name)) {
 			own = append(own, b)
--- a/internal/demo/firm.go
+++ b/internal/demo/firm.go
@@ -152,7 +152,7 @@
 	}
 	for _, r := range s.Routes {
 		if !r.Idempotent {
-			spec.OrderPaths = append(spec.OrderPaths, r.PathPrefix)
+			spec.NonIdempotentPaths = append(spec.NonIdempotentPaths, r.PathPrefix)
 		}
 	}
 	return spec
--- a/internal/demo/scenario.go
+++ b/internal/demo/scenario.go
@@ -111,7 +111,7 @@
 	s.leaving = endpoints[s.firm.random.IntN(len(endpoints))]
 	s.faulty[s.leaving.Addr()] = true
 	s.leavingAt = time.Now()
-	s.leaving.Leave()
+	s.leaving.Drain()
 	time.AfterFunc(leavingGrace, func() { s.leavingCount = s.leaving.Stats().Received })
 	return nil
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -105,7 +105,7 @@
 	o.load, o.hasLoad = parseLoad(peek(resp, HeaderLoad))
 	if status == statusNotStarted && peek(resp, HeaderNotStarted) == "1" {
 		o.result = routing.AttemptRefused
-		o.answer = exchange.Refusal(result.CodeUpstreamRefused, "Endpoint "+string(endpoint)+".")
+		o.answer = exchange.Rejection(result.CodeUpstreamRefused, "Endpoint "+string(endpoint)+".")
 		return o
 	}
 	o.result = routing.AttemptSucceeded
@@ -156,7 +156,7 @@
 func notSent(endpoint fleet.Endpoint, err error, blames bool) outcome {
 	return outcome{
 		result: routing.AttemptNotSent,
-		answer: exchange.Refusal(result.CodeNotSent, "Endpoint "+string(endpoint)+": "+err.Error()+"."),
+		answer: exchange.Rejection(result.CodeNotSent, "Endpoint "+string(endpoint)+": "+err.Error()+"."),
 		blames: blames,
 	}
 }
@@ -164,7 +164,7 @@
 func cancelled(endpoint fleet.Endpoint) outcome {
 	return outcome{
 		result: routing.AttemptCancelled,
-		answer: exchange.Refusal(result.CodeCallerGone, "Endpoint "+string(endpoint)+"."),
+		answer: exchange.Rejection(result.CodeCallerGone, "Endpoint "+string(endpoint)+"."),
 	}
 }
 
@@ -175,7 +175,7 @@
 	}
 	return outcome{
 		result: routing.AttemptIncomplete,
-		answer: exchange.Refusal(code, text+"."),
+		answer: exchange.Rejection(code, text+"."),
 		blames: blames,
 	}
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -84,11 +84,11 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if d.stopping {
-		return nil, exchange.Refusal(result.CodeStopping, "")
+		return nil, exchange.Rejection(result.CodeStopping, "")
 	}
 	s := d.services[name]
 	if s == nil {
-		return nil, exchange.Refusal(result.CodeNoEndpoint, fmt.Sprintf("Service %q.", name))
+		return nil, exchange.Rejection(result.CodeNoEndpoint, fmt.Sprintf("Service %q.", name))
 	}
 	d.pending.Add(1)
 	return s, exchange.Answer{}
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -154,7 +154,7 @@
 }
 
 func (s *service) reject(e routing.Reject) {
-	a := exchange.Refusal(rejectCode(e.Reason), "")
+	a := exchange.Rejection(rejectCode(e.Reason), "")
 	if e.NotRun {
 		a.Execution = result.NotRun
 	}
--- a/internal/dispatch/headers.go
+++ b/internal/dispatch/headers.go
@@ -33,7 +33,7 @@
 
 // writeHeaders copies the end-to-end headers of a caller's request.
 func writeHeaders(req *fasthttp.Request, headers []exchange.Header) {
-	var listed exchange.ConnectionNames
+	var listed exchange.ConnectionOptions
 	for _, h := range headers {
 		if strings.EqualFold(h.Name, "Connection") {
 			listed.Add(h.Value)
@@ -45,7 +45,7 @@
 			req.Header.SetHost(h.Value)
 			continue
 		}
-		if exchange.HopByHop(name) || own[name] || listed[name] {
+		if exchange.IsHopByHop(name) || own[name] || listed[name] {
 			continue
 		}
 		req.Header.Add(h.Name, h.Value)
@@ -56,7 +56,7 @@
 // there is no body to take it from.
 func readHeaders(resp *fasthttp.Response, keepLength bool) []exchange.Header {
 	resp.Header.SetNoDefaultContentType(true)
-	var listed exchange.ConnectionNames
+	var listed exchange.ConnectionOptions
 	count := 0
 	for name, value := range resp.Header.All() {
 		count++
@@ -71,7 +71,7 @@
 			headers = append(headers, exchange.Header{Name: "Content-Length", Value: string(value)})
 			continue
 		}
-		if exchange.HopByHop(lower) || own[lower] || listed[lower] {
+		if exchange.IsHopByHop(lower) || own[lower] || listed[lower] {
 			continue
 		}
 		headers = append(headers, exchange.Header{Name: string(name), Value: string(value)})
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -42,14 +42,14 @@
 }
 
 func readHeaders(h *fasthttp.RequestHeader) []exchange.Header {
-	var listed exchange.ConnectionNames
+	var listed exchange.ConnectionOptions
 	for _, value := range h.PeekAll(fasthttp.HeaderConnection) {
 		listed.Add(string(value))
 	}
 	var headers []exchange.Header
 	for key, value := range h.All() {
 		name := strings.ToLower(string(key))
-		if exchange.HopByHop(name) || ownHeaders[name] || listed[name] {
+		if exchange.IsHopByHop(name) || ownHeaders[name] || listed[name] {
 			continue
 		}
 		headers = append(headers, exchange.Header{Name: string(key), Value: string(value)})
@@ -78,7 +78,7 @@
 			length = contentLength(h.Value)
 			continue
 		}
-		if exchange.HopByHop(name) {
+		if exchange.IsHopByHop(name) {
 			continue
 		}
 		response.Header.Add(h.Name, h.Value)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -194,20 +194,20 @@
 func (s *Server) serve(ctx context.Context, r exchange.Request, now time.Time) exchange.Answer {
 	router := s.backend.Router()
 	if router == nil {
-		return r.RefuseAttempt(result.CodeNotReady, "")
+		return r.RejectAttempt(result.CodeNotReady, "")
 	}
 	if bound := s.cfg.MaxInFlight; bound > 0 && s.inFlight.Load() > bound {
-		return r.RefuseAttempt(overloadCode(r), fmt.Sprintf("%d requests in flight at the instance, bound %d", s.inFlight.Load(), bound))
+		return r.RejectAttempt(overloadCode(r), fmt.Sprintf("%d requests in flight at the instance, bound %d", s.inFlight.Load(), bound))
 	}
 	if hasDotSegment(pathOf(r.URI)) {
-		return r.RefuseAttempt(result.CodeMalformedRequest, fmt.Sprintf("path %q has a segment of dots", pathOf(r.URI)))
+		return r.RejectAttempt(result.CodeMalformedRequest, fmt.Sprintf("path %q has a segment of dots", pathOf(r.URI)))
 	}
 	match, code := router.Find(r.Account, r.Service, r.Method, pathOf(r.URI))
 	if code != result.CodeAnswered {
-		return r.RefuseAttempt(code, fmt.Sprintf("account %q, %s %s", r.Account, r.Method, pathOf(r.URI)))
+		return r.RejectAttempt(code, fmt.Sprintf("account %q, %s %s", r.Account, r.Method, pathOf(r.URI)))
 	}
 	if bound := match.Service.MaxBodyBytes; bound > 0 && len(r.Body) > bound {
-		return r.RefuseAttempt(result.CodeBodyTooLarge, fmt.Sprintf("got %d bytes, bound %d", len(r.Body), bound))
+		return r.RejectAttempt(result.CodeBodyTooLarge, fmt.Sprintf("got %d bytes, bound %d", len(r.Body), bound))
 	}
 	r.Service = match.Service.Name
 	r.Idempotent = match.Route.Idempotent
@@ -264,7 +264,7 @@
 	zone := fleet.Zone(strings.Clone(c.Query(client.ParamZone)))
 	d, code := s.backend.Discover(service, account, zone)
 	if code != result.CodeAnswered {
-		return s.finish(c, exchange.Refusal(code, fmt.Sprintf("service %q, account %q", service, account)))
+		return s.finish(c, exchange.Rejection(code, fmt.Sprintf("service %q, account %q", service, account)))
 	}
 	if s.draining.Load() {
 		c.Response().SetConnectionClose()
@@ -281,7 +281,7 @@
 	}
 	c.Response().SetConnectionClose()
 	if c.Get(client.HeaderKey) != "" {
-		return writeAnswer(c, exchange.AttemptRefusal(code, err.Error()))
+		return writeAnswer(c, exchange.AttemptRejection(code, err.Error()))
 	}
-	return writeAnswer(c, exchange.Refusal(code, err.Error()))
+	return writeAnswer(c, exchange.Rejection(code, err.Error()))
 }
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -42,7 +42,7 @@
 }
 
 func (b *echoBackend) Outcome(_ context.Context, key string) exchange.Answer {
-	return exchange.Refusal(result.CodeKeyUnknown, key)
+	return exchange.Rejection(result.CodeKeyUnknown, key)
 }
 
 func (b *echoBackend) Discover(service fleet.Service, _ fleet.Account, _ fleet.Zone) (client.Discovery, result.Code) {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -42,9 +42,9 @@
 	Execution result.Execution `cbor:"5,keyasint"`
 }
 
-// Refusal returns the answer for a code of the table, with the code's own status and execution.
+// Rejection returns the answer for a code of the table, with the code's own status and execution.
 // The body is one line of text that ends with detail.
-func Refusal(code result.Code, detail string) Answer {
+func Rejection(code result.Code, detail string) Answer {
 	entry, ok := result.Lookup(code)
 	if !ok {
 		entry = result.Entry{Code: code, Name: "unlisted", Status: 500, Execution: result.Unknown, Text: "Unlisted code."}
@@ -62,21 +62,21 @@
 	}
 }
 
-// AttemptRefusal returns the answer that refuses one attempt of a keyed request before its claim.
+// AttemptRejection returns the answer that refuses one attempt of a keyed request before its claim.
 // It says nothing of other attempts with the key: an execution "not-run" becomes "unknown".
-func AttemptRefusal(code result.Code, detail string) Answer {
-	a := Refusal(code, detail)
+func AttemptRejection(code result.Code, detail string) Answer {
+	a := Rejection(code, detail)
 	if a.Execution == result.NotRun {
 		a.Execution = result.Unknown
 	}
 	return a
 }
 
-// RefuseAttempt returns the answer that refuses the request before it was claimed or sent: an
+// RejectAttempt returns the answer that refuses the request before it was claimed or sent: an
 // AttemptRefusal when it carries an idempotency key that counts, a Refusal otherwise.
-func (r Request) RefuseAttempt(code result.Code, detail string) Answer {
+func (r Request) RejectAttempt(code result.Code, detail string) Answer {
 	if r.Key != "" && !r.Idempotent {
-		return AttemptRefusal(code, detail)
+		return AttemptRejection(code, detail)
 	}
-	return Refusal(code, detail)
+	return Rejection(code, detail)
 }
--- a/internal/exchange/headers.go
+++ b/internal/exchange/headers.go
@@ -15,24 +15,24 @@
 	"upgrade":             true,
 }
 
-// HopByHop reports whether a header, named in lower case, ends at each hop.
-func HopByHop(name string) bool {
+// IsHopByHop reports whether a header, named in lower case, ends at each hop.
+func IsHopByHop(name string) bool {
 	return hopByHop[name]
 }
 
-// ConnectionNames is the set of headers, in lower case, that Connection headers name
+// ConnectionOptions is the set of headers, in lower case, that Connection headers name
 // as ending at this hop. The zero value is empty.
-type ConnectionNames map[string]bool
+type ConnectionOptions map[string]bool
 
 // Add takes the value of one Connection header.
-func (n *ConnectionNames) Add(value string) {
+func (n *ConnectionOptions) Add(value string) {
 	for name := range strings.SplitSeq(value, ",") {
 		name = strings.ToLower(strings.TrimSpace(name))
 		if name == "" {
 			continue
 		}
 		if *n == nil {
-			*n = make(ConnectionNames)
+			*n = make(ConnectionOptions)
 		}
 		(*n)[name] = true
 	}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -62,7 +62,7 @@
 		}
 		f.metrics.dials.Add(1)
 	}
-	if err := conn.Probe(false); err != nil {
+	if err := conn.SetKeepAlive(false); err != nil {
 		_ = conn.Close()
 		a.ending, a.err = endedNotSent, err
 		return
@@ -117,7 +117,7 @@
 	var rest *httpconn.Body
 	for strays := 0; ; strays++ {
 		var recvErr error
-		if rest, recvErr = conn.ReceiveHead(a.resp, f.gatherBytes()); recvErr != nil {
+		if rest, recvErr = conn.ReceiveBuffered(a.resp, f.gatherBytes()); recvErr != nil {
 			a.ending, a.err = endedBroken, errors.Join(err, recvErr)
 			if errors.Is(recvErr, httpconn.ErrTimedOut) {
 				a.ending = endedTimedOut
@@ -218,7 +218,7 @@
 // report returns the attempt as the log shows it.
 func (a *attempt) report() Attempt {
 	out := Attempt{
-		Upstream: a.grant.Endpoint.Name, Ending: a.ending.String(), Millis: a.took.Milliseconds(),
+		Upstream: a.grant.Endpoint.Name, Outcome: a.ending.String(), Millis: a.took.Milliseconds(),
 		Chance: a.grant.Chance, InFlight: a.grant.InFlight, Reused: a.reused,
 	}
 	if a.err != nil {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -19,12 +19,12 @@
 	Acquire(a dispatch.Request) (dispatch.Grant, error)
 	// Ended tells how a granted request ended.
 	Ended(g dispatch.Grant, kind dispatch.EventKind, took time.Duration)
-	// Unreachable tells that a granted request could not be sent.
-	Unreachable(g dispatch.Grant)
-	// Answered tells the size of the body of an answer to a request of a class.
-	Answered(class string, bytes int)
-	// RunsLong tells that a granted request has no answer for many times the usual time.
-	RunsLong(g dispatch.Grant)
+	// SendFailed tells that a granted request could not be sent.
+	SendFailed(g dispatch.Grant)
+	// RecordResponseSize tells the size of the body of an answer to a request of a class.
+	RecordResponseSize(class string, bytes int)
+	// Overdue tells that a granted request has no answer for many times the usual time.
+	Overdue(g dispatch.Grant)
 }
 
 // Rejected is the error of a request that gets no endpoint.
@@ -57,7 +57,7 @@
 // Attempt is one sending, for the log.
 type Attempt struct {
 	Upstream string  `json:"upstream"`
-	Ending   string  `json:"ending"`
+	Outcome  string  `json:"ending"`
 	Millis   int64   `json:"ms"`
 	Chance   float64 `json:"chance"`
 	InFlight int     `json:"in_flight"`
@@ -84,14 +84,14 @@
 
 // Counts are the Forwarder's counters since its start.
 type Counts struct {
-	Dials         int64 // Connections opened to upstreams.
-	Strays        int64 // Answers to other requests, skipped.
-	BrokenStreams int64 // Answers that broke off while they were passed on.
+	Dials             int64 // Connections opened to upstreams.
+	MismatchedAnswers int64 // Answers to other requests, skipped.
+	BrokenStreams     int64 // Answers that broke off while they were passed on.
 }
 
 // Counts returns the counters.
 func (f *Forwarder) Counts() Counts {
-	return Counts{Dials: f.metrics.dials.Load(), Strays: f.metrics.strays.Load(), BrokenStreams: f.metrics.brokenStreams.Load()}
+	return Counts{Dials: f.metrics.dials.Load(), MismatchedAnswers: f.metrics.strays.Load(), BrokenStreams: f.metrics.brokenStreams.Load()}
 }
 
 // Sweep closes upstream connections that have been idle for too long.
@@ -99,8 +99,8 @@
 	f.pool.sweep(now)
 }
 
-// DropIdle closes the idle connections to upstreams, whose other sides may have given them up.
-func (f *Forwarder) DropIdle() {
+// CloseIdleConnections closes the idle connections to upstreams, whose other sides may have given them up.
+func (f *Forwarder) CloseIdleConnections() {
 	f.pool.clear()
 }
 
@@ -208,18 +208,18 @@
 // attempt sends a copy of the request to the granted endpoint.
 func (f *Forwarder) attempt(ctx context.Context, r *request, req *fasthttp.Request, grant dispatch.Grant) *attempt {
 	a := &attempt{grant: grant, started: time.Now()}
-	overdue := time.AfterFunc(grant.BaselineLatency*overdueFactor, func() { f.dispatcher.RunsLong(grant) })
+	overdue := time.AfterFunc(grant.BaselineLatency*overdueFactor, func() { f.dispatcher.Overdue(grant) })
 	f.send(f.sendContext(ctx, r), r, req, a)
 	overdue.Stop()
 	a.took = time.Since(a.started)
 	if a.ending == endedServed {
-		f.dispatcher.Answered(r.Route.Name, a.size())
+		f.dispatcher.RecordResponseSize(r.Route.Name, a.size())
 	}
 	if a.stream != nil {
 		return a
 	}
 	if a.ending == endedNotSent && ctx.Err() == nil {
-		f.dispatcher.Unreachable(grant)
+		f.dispatcher.SendFailed(grant)
 	} else {
 		f.dispatcher.Ended(grant, a.eventOf(), a.took)
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -120,15 +120,15 @@
 	d.events = append(d.events, kind)
 }
 
-func (d *inTurn) Unreachable(dispatch.Grant) {
+func (d *inTurn) SendFailed(dispatch.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.open--
 }
 
-func (d *inTurn) RunsLong(dispatch.Grant) {}
+func (d *inTurn) Overdue(dispatch.Grant) {}
 
-func (d *inTurn) Answered(string, int) {}
+func (d *inTurn) RecordResponseSize(string, int) {}
 
 // closed returns an address on which nobody listens.
 func closed(t *testing.T) string {
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -71,7 +71,7 @@
 
 // put keeps a connection after an answer, where both sides will go on with it.
 func (p *pool) put(t target, conn *httpconn.Conn, resp *fasthttp.Response, now time.Time) {
-	if resp.ConnectionClose() || !conn.Clean() || conn.Probe(true) != nil {
+	if resp.ConnectionClose() || !conn.FullyRead() || conn.SetKeepAlive(true) != nil {
 		_ = conn.Close()
 		return
 	}
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -24,11 +24,11 @@
 }
 
 func (r *refusal) write(requestID string, resp *fasthttp.Response) {
-	Refuse(resp, requestID, r.code, r.detail, r.retryAfter)
+	Reject(resp, requestID, r.code, r.detail, r.retryAfter)
 }
 
-// Refuse fills in an answer of the fleet's own. retryAfter is 0 for none.
-func Refuse(resp *fasthttp.Response, requestID string, code result.Code, detail string, retryAfter time.Duration) {
+// Reject fills in an answer of the fleet's own. retryAfter is 0 for none.
+func Reject(resp *fasthttp.Response, requestID string, code result.Code, detail string, retryAfter time.Duration) {
 	resp.Reset()
 	entry, ok := result.Lookup(code)
 	if !ok {
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -26,9 +26,9 @@
 	gatherTotal = 24 << 20
 )
 
-// Bound tells how many requests are in service until their answers are written, by which
+// SetInServiceCount tells how many requests are in service until their answers are written, by which
 // the memory for answers is shared out. Call it before the first Serve.
-func (f *Forwarder) Bound(inService func() int64) {
+func (f *Forwarder) SetInServiceCount(inService func() int64) {
 	f.inService = inService
 }
 
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -267,7 +267,7 @@
 		addrs = append(addrs, u.listener.Addr().String())
 	}
 	f := New(dispatcherOf(addrs...))
-	f.Bound(func() int64 { return readers })
+	f.SetInServiceCount(func() int64 { return readers })
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -358,17 +358,17 @@
 	c.post(func() { c.ended(time.Now(), g, kind, took) })
 }
 
-// Unreachable implements forward.Dispatcher.
-func (c *control) Unreachable(g dispatch.Grant) {
+// SendFailed implements forward.Dispatcher.
+func (c *control) SendFailed(g dispatch.Grant) {
 	c.post(func() { c.unreachable(time.Now(), g) })
 }
 
-// Answered implements forward.Dispatcher.
-func (c *control) Answered(class string, bytes int) {
+// RecordResponseSize implements forward.Dispatcher.
+func (c *control) RecordResponseSize(class string, bytes int) {
 	c.post(func() { c.machine.RecordResponseSize(class, bytes) })
 }
 
-// RunsLong implements forward.Dispatcher.
-func (c *control) RunsLong(g dispatch.Grant) {
+// Overdue implements forward.Dispatcher.
+func (c *control) Overdue(g dispatch.Grant) {
 	c.post(func() { c.runsLong(time.Now(), g) })
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -68,8 +68,8 @@
 	if g.server, err = callers.Listen(s.Listen.Callers, h); err != nil {
 		return err
 	}
-	g.control.dropIdle = g.forwarder.DropIdle
-	g.forwarder.Bound(g.server.InFlight)
+	g.control.dropIdle = g.forwarder.CloseIdleConnections
+	g.forwarder.SetInServiceCount(g.server.InFlight)
 	peers, err := netip.ParseAddrPort(s.Listen.Peers)
 	if err != nil {
 		return fmt.Errorf("address for peers %q: %w", s.Listen.Peers, err)
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -34,9 +34,9 @@
 	return h.control.snapshot.Load().limits
 }
 
-// Refuse implements callers.Handler.
-func (h *handler) Refuse(code result.Code, detail string, resp *fasthttp.Response) {
-	forward.Refuse(resp, "", code, detail, 0)
+// Reject implements callers.Handler.
+func (h *handler) Reject(code result.Code, detail string, resp *fasthttp.Response) {
+	forward.Reject(resp, "", code, detail, 0)
 	h.metrics.answered(code, 0)
 	h.log.Warn("request not read", "code", code, "detail", detail)
 }
@@ -77,7 +77,7 @@
 }
 
 func (h *handler) refuse(r callers.Request, id string, resp *fasthttp.Response, code result.Code, detail string, retryAfter time.Duration) {
-	forward.Refuse(resp, id, code, detail, retryAfter)
+	forward.Reject(resp, id, code, detail, retryAfter)
 	h.metrics.answered(code, time.Since(r.Arrived))
 	h.log.Info("request", "request", id, "code", code, "detail", detail, "host", string(r.HTTP.Header.Host()), "uri", string(r.HTTP.Header.RequestURI()))
 }
--- a/internal/gateway/side.go
+++ b/internal/gateway/side.go
@@ -98,7 +98,7 @@
 	counts := g.forwarder.Counts()
 	gauges := map[string]int64{
 		"upstream_dials":     counts.Dials,
-		"upstream_strays":    counts.Strays,
+		"upstream_strays":    counts.MismatchedAnswers,
 		"streams_broken":     counts.BrokenStreams,
 		"log_lines_dropped":  g.logs.dropped.Load(),
 		"caller_connections": int64(g.server.Connections()),
--- a/internal/httpconn/answer.go
+++ b/internal/httpconn/answer.go
@@ -21,8 +21,8 @@
 
 // Errors of answers without end.
 var (
-	// ErrNoEnd is returned when far more comes than an answer's body.
-	ErrNoEnd = errors.New("the bytes that come are no answer, or do not end")
+	// ErrUnbounded is returned when far more comes than an answer's body.
+	ErrUnbounded = errors.New("the bytes that come are no answer, or do not end")
 	// ErrTooLarge is returned for a body over its bound.
 	ErrTooLarge = errors.New("the answer's body is over its bound")
 )
@@ -37,7 +37,7 @@
 // Read implements io.Reader.
 func (m *meter) Read(p []byte) (int, error) {
 	if m.left <= 0 {
-		return 0, ErrNoEnd
+		return 0, ErrUnbounded
 	}
 	n, err := m.Conn.Read(p[:min(len(p), m.left)])
 	m.left -= n
@@ -135,16 +135,16 @@
 // Receive reads one answer whole. An answer whose end is not marked is whole only when the
 // other side closed the connection in order.
 func (c *Conn) Receive(resp *fasthttp.Response, maxBody int) error {
-	rest, err := c.ReceiveHead(resp, maxBody)
+	rest, err := c.ReceiveBuffered(resp, maxBody)
 	if err == nil && rest != nil {
 		err = ErrTooLarge
 	}
 	return err
 }
 
-// ReceiveHead reads one answer: its head, and its body up to gather bytes. rest is nil where
+// ReceiveBuffered reads one answer: its head, and its body up to gather bytes. rest is nil where
 // that is the whole answer; else the body is to be read from it.
-func (c *Conn) ReceiveHead(resp *fasthttp.Response, gather int) (rest *Body, err error) {
+func (c *Conn) ReceiveBuffered(resp *fasthttp.Response, gather int) (rest *Body, err error) {
 	rest, err = c.receiveHead(resp, gather)
 	if err != nil {
 		return nil, describe(err)
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -29,8 +29,8 @@
 
 // Errors of an exchange.
 var (
-	// ErrStrayBytes is returned when bytes that belong to no request wait on a connection.
-	ErrStrayBytes = errors.New("the connection holds bytes that belong to no request")
+	// ErrUnsolicitedData is returned when bytes that belong to no request wait on a connection.
+	ErrUnsolicitedData = errors.New("the connection holds bytes that belong to no request")
 	// ErrTimedOut is returned when the deadline passed before an answer was whole.
 	ErrTimedOut = errors.New("no whole answer before the deadline")
 	// ErrClosed is returned when the other side has closed an idle connection.
@@ -82,11 +82,11 @@
 // bytes wait on it that answer nothing.
 func (c *Conn) CheckIdle() error {
 	if c.br.Buffered() > 0 {
-		return ErrStrayBytes
+		return ErrUnsolicitedData
 	}
 	switch sockpeek.Look(c.conn) {
 	case sockpeek.Data:
-		return ErrStrayBytes
+		return ErrUnsolicitedData
 	case sockpeek.Closed:
 		return ErrClosed
 	default:
@@ -94,9 +94,9 @@
 	}
 }
 
-// Probe sets whether the connection ends when its other side is silent, as is right while
+// SetKeepAlive sets whether the connection ends when its other side is silent, as is right while
 // it is idle or watched. A request under way may outlast a cut of the network.
-func (c *Conn) Probe(on bool) error {
+func (c *Conn) SetKeepAlive(on bool) error {
 	tcp, ok := c.conn.(*net.TCPConn)
 	if !ok {
 		return nil
@@ -121,8 +121,8 @@
 	return true, nil
 }
 
-// Clean tells whether nothing is left to read after an answer.
-func (c *Conn) Clean() bool {
+// FullyRead tells whether nothing is left to read after an answer.
+func (c *Conn) FullyRead() bool {
 	return c.br.Buffered() == 0
 }
 
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -36,7 +36,7 @@
 		t.Errorf("sent bytes may stay unacknowledged for %d ms", got)
 	}
 	for _, on := range []bool{false, true} {
-		if err := c.Probe(on); err != nil {
+		if err := c.SetKeepAlive(on); err != nil {
 			t.Fatal(err)
 		}
 		if got := option(syscall.SOL_SOCKET, syscall.SO_KEEPALIVE); (got != 0) != on {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -26,7 +26,7 @@
 
 func newHost(t *testing.T, spec upstream.Spec) (*upstream.Host, string) {
 	t.Helper()
-	h := upstream.NewHost(upstream.HostOptions{RecordLookups: true})
+	h := upstream.NewHost(upstream.HostOptions{RecordIdempotent: true})
 	t.Cleanup(func() { _ = h.Close() })
 	spec.Service = "stock"
 	e, err := h.Add(spec)
--- a/internal/local/failure_test.go
+++ b/internal/local/failure_test.go
@@ -33,7 +33,7 @@
 	answered atomic.Int64
 
 	mu      sync.Mutex
-	beliefs []upstream.Belief
+	beliefs []upstream.CallerResult
 	errors  []error
 }
 
@@ -62,11 +62,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	a, err := ask(ctx, c, client.Request{Service: "drums", Method: "POST", URI: "/drums?" + upstream.ParamTime + "=20", Body: []byte(id)}, id)
-	b := upstream.Belief{ID: id, Order: true, Told: toldBy(a, err)}
+	b := upstream.CallerResult{ID: id, NonIdempotent: true, Outcome: toldBy(a, err)}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.beliefs = append(r.beliefs, b)
-	if b.Told == upstream.ToldAnswered {
+	if b.Outcome == upstream.OutcomeAnswered {
 		r.answered.Add(1)
 	}
 	if err != nil {
@@ -74,21 +74,21 @@
 	}
 }
 
-func toldBy(a client.Answer, err error) upstream.Told {
+func toldBy(a client.Answer, err error) upstream.Outcome {
 	var none *client.NoAnswerError
 	switch {
 	case errors.As(err, &none) && none.Execution == client.ExecutionUnknown:
-		return upstream.ToldUnknown
+		return upstream.OutcomeUnknown
 	case errors.As(err, &none), errors.Is(err, client.ErrNoEntry):
-		return upstream.ToldNotRun
+		return upstream.OutcomeNotRun
 	case err != nil:
-		return upstream.ToldNothing
+		return upstream.OutcomeNone
 	case a.Execution == client.ExecutionRan:
-		return upstream.ToldAnswered
+		return upstream.OutcomeAnswered
 	case a.Execution == client.ExecutionNotRun:
-		return upstream.ToldNotRun
+		return upstream.OutcomeNotRun
 	default:
-		return upstream.ToldUnknown
+		return upstream.OutcomeUnknown
 	}
 }
 
@@ -105,9 +105,9 @@
 	close(r.stop)
 	r.wait.Wait()
 	audit := r.fleet.Host.Recorder().Audit(r.beliefs)
-	if audit.Lost+audit.Doubled+audit.FalseNotRun > 0 {
+	if audit.Lost+audit.Duplicated+audit.FalseNotRun > 0 {
 		t.Errorf("lost %d, doubled %d, falsely told not run %d of %d: %v; errors %v",
-			audit.Lost, audit.Doubled, audit.FalseNotRun, audit.Requests, audit.Broken, r.errors)
+			audit.Lost, audit.Duplicated, audit.FalseNotRun, audit.Requests, audit.Violations, r.errors)
 	}
 	return audit
 }
@@ -297,7 +297,7 @@
 	r := startTraffic(t, f, 6)
 	r.await(t, 100)
 	leaving := f.Host.ServiceEndpoints("drums")[0]
-	leaving.Leave()
+	leaving.Drain()
 	eventually(t, "every instance knows that the endpoint leaves", func() bool { return knownLeaving(f, leaving.Addr()) })
 	before := leaving.Stats().Received
 	r.await(t, 300)
@@ -365,10 +365,10 @@
 		a, err := ask(ctx, c, client.Request{Service: "drums", Method: "POST", URI: "/drums", Body: []byte(id)}, id)
 		told := toldBy(a, err)
 		starts := f.Host.Recorder().Starts(id)
-		if told == upstream.ToldAnswered && a.Status != http.StatusOK || told == upstream.ToldNothing {
+		if told == upstream.OutcomeAnswered && a.Status != http.StatusOK || told == upstream.OutcomeNone {
 			t.Errorf("%s: status %d, execution %s: %v", id, a.Status, a.Execution, err)
 		}
-		if starts > 1 || told == upstream.ToldNotRun && starts > 0 {
+		if starts > 1 || told == upstream.OutcomeNotRun && starts > 0 {
 			t.Errorf("%s started %d times and its caller was told %d", id, starts, told)
 		}
 	}
--- a/internal/local/fleet.go
+++ b/internal/local/fleet.go
@@ -90,7 +90,7 @@
 	}
 	f := &Fleet{opts: o, cuts: make(map[direction]bool)}
 	f.Platform = standin.New(standin.Options{Faults: standin.Faults{ListLag: o.ListLag}})
-	f.Host = upstream.NewHost(upstream.HostOptions{Seed: o.Seed, RecordLookups: true, Changed: f.listUpstreams})
+	f.Host = upstream.NewHost(upstream.HostOptions{Seed: o.Seed, RecordIdempotent: true, OnChange: f.listUpstreams})
 	server, err := standin.Serve(f.Platform, loopback)
 	if err != nil {
 		return nil, err
--- a/internal/local/fleet_test.go
+++ b/internal/local/fleet_test.go
@@ -60,7 +60,7 @@
 	t.Helper()
 	_, err := f.Host.Add(upstream.Spec{
 		Service: service, Zone: f.opts.Zones[i%len(f.opts.Zones)], Slots: 4,
-		Median: 2 * time.Millisecond, OrderPaths: []string{"/drums"},
+		Median: 2 * time.Millisecond, NonIdempotentPaths: []string{"/drums"},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -61,7 +61,7 @@
 	ctx, span := n.opts.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	r.TraceParent = tracing.Inject(ctx, r.TraceParent)
-	answer := exchange.Refusal(result.CodeNoEndpoint, fmt.Sprintf("no carrier of service %q can be reached", r.Service))
+	answer := exchange.Rejection(result.CodeNoEndpoint, fmt.Sprintf("no carrier of service %q can be reached", r.Service))
 	for i, to := range nearestFirst(carriers, n.self.Zone) {
 		if i == maxRelayTries {
 			return answer
@@ -74,7 +74,7 @@
 		if errors.Is(err, relay.ErrUnreachable) {
 			continue
 		}
-		answer = exchange.Refusal(result.CodeRelayFailed, err.Error())
+		answer = exchange.Rejection(result.CodeRelayFailed, err.Error())
 		if !r.Idempotent {
 			return answer
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -72,7 +72,7 @@
 	claims     *claims.Claims
 	dispatcher *dispatch.Dispatcher
 	budget     *storecall.Budget
-	reach      *storecall.Reach
+	reach      *storecall.Monitor
 
 	router    atomic.Pointer[entry.Router]
 	appliedAt atomic.Pointer[time.Time]
@@ -86,7 +86,7 @@
 // New listens on the instance's addresses and puts its parts together. ctx bounds the
 // instance's calls of the platform.
 func New(ctx context.Context, o Options) (*Node, error) {
-	reach := storecall.NewReach(o.Store, time.Now)
+	reach := storecall.NewMonitor(o.Store, time.Now)
 	o.Store = reach
 	n := &Node{opts: o, reach: reach, log: o.Log, started: time.Now(), fatal: make(chan error, 1)}
 	n.refused.Init()
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -87,7 +87,7 @@
 // storeStatus reads the counts of store calls.
 func (n *Node) storeStatus() api.Store {
 	s := api.Store{Calls: make(map[string]uint64)}
-	s.Reachable, s.LastOK = n.reach.Last()
+	s.Reachable, s.LastOK = n.reach.LastCall()
 	storecall.Calls.Do(func(kv expvar.KeyValue) {
 		if v, ok := kv.Value.(*expvar.Int); ok {
 			s.Calls[kv.Key] = uint64(v.Value())
--- a/internal/storecall/storecall.go
+++ b/internal/storecall/storecall.go
@@ -30,8 +30,8 @@
 	MinBurst = 100.0
 )
 
-// ErrBudget says that a call was over the instance's budget and was not made.
-var ErrBudget = errors.New("over the budget of store calls")
+// ErrOverBudget says that a call was over the instance's budget and was not made.
+var ErrOverBudget = errors.New("over the budget of store calls")
 
 // Budget bounds the store calls of one instance. It is safe for concurrent use.
 type Budget struct {
@@ -97,7 +97,7 @@
 func (s *Store) admit() error {
 	if s.budget != nil && !s.budget.take() {
 		Calls.Add("refused", 1)
-		return ErrBudget
+		return ErrOverBudget
 	}
 	Calls.Add(s.duty, 1)
 	return nil
--- a/internal/storecall/storecall_test.go
+++ b/internal/storecall/storecall_test.go
@@ -30,7 +30,7 @@
 	if made != MinBurst {
 		t.Fatalf("%d calls made at once, want %v", made, MinBurst)
 	}
-	if _, err := store.Get(t.Context(), "key"); !errors.Is(err, ErrBudget) {
+	if _, err := store.Get(t.Context(), "key"); !errors.Is(err, ErrOverBudget) {
 		t.Fatalf("error %v", err)
 	}
 	now = now.Add(time.Minute)
--- a/internal/upstream/admin.go
+++ b/internal/upstream/admin.go
@@ -12,20 +12,20 @@
 
 // Paths of AdminHandler.
 const (
-	PathEndpoints = "/admin/endpoints" // GET: the Stats of each endpoint.
-	PathSummary   = "/admin/summary"   // GET: Summary.
-	PathRecord    = "/admin/record"    // GET: the Record of the request ID in ParamID.
-	PathFaults    = "/admin/faults"    // GET and PUT: Faults of the endpoint in ParamEndpoint.
-	PathReach     = "/admin/reach"     // POST: the reach of ParamEndpoint from the address in ParamFrom becomes ParamReach.
-	PathLeave     = "/admin/leave"     // POST: the endpoint in ParamEndpoint drains.
+	PathEndpoints    = "/admin/endpoints" // GET: the Stats of each endpoint.
+	PathSummary      = "/admin/summary"   // GET: Summary.
+	PathRecord       = "/admin/record"    // GET: the Record of the request ID in ParamID.
+	PathFaults       = "/admin/faults"    // GET and PUT: Faults of the endpoint in ParamEndpoint.
+	PathConnectivity = "/admin/reach"     // POST: the reach of ParamEndpoint from the address in ParamFrom becomes ParamReach.
+	PathDrain        = "/admin/leave"     // POST: the endpoint in ParamEndpoint drains.
 )
 
 // Parameters of AdminHandler.
 const (
-	ParamEndpoint = "endpoint"
-	ParamID       = "id"
-	ParamFrom     = "from"  // IP number of a caller.
-	ParamReach    = "reach" // As ParseReach takes it.
+	ParamEndpoint     = "endpoint"
+	ParamID           = "id"
+	ParamFrom         = "from"  // IP number of a caller.
+	ParamConnectivity = "reach" // As ParseReach takes it.
 )
 
 const maxAdminBytes = 1 << 20
@@ -51,9 +51,9 @@
 	})
 	mux.HandleFunc("GET "+PathFaults, onEndpoint(h, func(w http.ResponseWriter, _ *http.Request, e *Endpoint) { writeJSON(w, e.Faults()) }))
 	mux.HandleFunc("PUT "+PathFaults, onEndpoint(h, putFaults))
-	mux.HandleFunc("POST "+PathReach, onEndpoint(h, postReach))
-	mux.HandleFunc("POST "+PathLeave, onEndpoint(h, func(w http.ResponseWriter, _ *http.Request, e *Endpoint) {
-		e.Leave()
+	mux.HandleFunc("POST "+PathConnectivity, onEndpoint(h, postReach))
+	mux.HandleFunc("POST "+PathDrain, onEndpoint(h, func(w http.ResponseWriter, _ *http.Request, e *Endpoint) {
+		e.Drain()
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	return mux
@@ -77,12 +77,12 @@
 		http.Error(w, fmt.Sprintf("from: %v", err), http.StatusBadRequest)
 		return
 	}
-	reach, err := ParseReach(r.URL.Query().Get(ParamReach))
+	reach, err := ParseConnectivity(r.URL.Query().Get(ParamConnectivity))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.SetReachOf(from, reach)
+	e.SetConnectivityFrom(from, reach)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -45,8 +45,8 @@
 	header := w.Header()
 	header.Set(HeaderEndpoint, string(e.addr))
 	header.Set(HeaderLoad, formatLoad(e.loadShare(len(e.slots), f)))
-	if !e.LeavingSince().IsZero() {
-		header.Set(HeaderLeaving, "1")
+	if !e.DrainingSince().IsZero() {
+		header.Set(HeaderDraining, "1")
 	}
 }
 
--- a/internal/upstream/audit_test.go
+++ b/internal/upstream/audit_test.go
@@ -29,32 +29,32 @@
 func TestAuditFindsEachBrokenPromise(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := NewRecorder(true)
-		var beliefs []Belief
+		var beliefs []CallerResult
 		want := Audit{}
 		for i := range rapid.IntRange(0, 20).Draw(rt, "requests") {
 			id := fmt.Sprint("r", i)
-			b := Belief{ID: id, Order: rapid.Bool().Draw(rt, "order"), Told: Told(rapid.IntRange(0, 3).Draw(rt, "told"))}
+			b := CallerResult{ID: id, NonIdempotent: rapid.Bool().Draw(rt, "order"), Outcome: Outcome(rapid.IntRange(0, 3).Draw(rt, "told"))}
 			starts := rapid.IntRange(0, 3).Draw(rt, "starts")
 			for range starts {
-				r.started(id, "a", b.Order, Start{})
+				r.started(id, "a", b.NonIdempotent, Start{})
 			}
 			beliefs = append(beliefs, b)
-			if b.Told == ToldNothing || (b.Told == ToldAnswered && starts == 0) {
+			if b.Outcome == OutcomeNone || (b.Outcome == OutcomeAnswered && starts == 0) {
 				want.Lost++
 			}
-			if b.Told == ToldNotRun && starts > 0 {
+			if b.Outcome == OutcomeNotRun && starts > 0 {
 				want.FalseNotRun++
 			}
-			if b.Order && starts > 1 {
-				want.Doubled++
+			if b.NonIdempotent && starts > 1 {
+				want.Duplicated++
 			}
 		}
 		got := r.Audit(beliefs)
-		if got.Lost != want.Lost || got.FalseNotRun != want.FalseNotRun || got.Doubled != want.Doubled || got.Requests != len(beliefs) {
+		if got.Lost != want.Lost || got.FalseNotRun != want.FalseNotRun || got.Duplicated != want.Duplicated || got.Requests != len(beliefs) {
 			rt.Fatalf("audit %+v, want %+v", got, want)
 		}
-		if len(r.Summary().Doubled) != want.Doubled {
-			rt.Fatalf("summary %+v, want %d doubled", r.Summary(), want.Doubled)
+		if len(r.Summary().Duplicated) != want.Duplicated {
+			rt.Fatalf("summary %+v, want %d doubled", r.Summary(), want.Duplicated)
 		}
 	})
 }
@@ -62,7 +62,7 @@
 func TestLastGapAfter(t *testing.T) {
 	t0 := time.Now().Add(-time.Hour)
 	e := &Endpoint{starts: []time.Time{t0.Add(-time.Second), t0.Add(time.Second), t0.Add(2 * time.Second), t0.Add(30 * time.Second)}}
-	if gap, ended := e.LastGapAfter(t0, 5*time.Second); gap != 2*time.Second || !ended {
+	if gap, ended := e.TimeUntilQuiet(t0, 5*time.Second); gap != 2*time.Second || !ended {
 		t.Fatalf("gap %v, ended %v", gap, ended)
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -13,13 +13,13 @@
 // gate decides on the connections of one endpoint.
 type gate struct {
 	mu     sync.Mutex
-	reach  ReachFrom
-	byAddr map[netip.Addr]Reach // Before reach.
+	reach  ConnectivityFunc
+	byAddr map[netip.Addr]Connectivity // Before reach.
 	conns  map[*gatedConn]struct{}
 }
 
 func newGate() *gate {
-	return &gate{byAddr: make(map[netip.Addr]Reach), conns: make(map[*gatedConn]struct{})}
+	return &gate{byAddr: make(map[netip.Addr]Connectivity), conns: make(map[*gatedConn]struct{})}
 }
 
 // change changes the reach and closes the connections that it does not allow any more.
@@ -32,13 +32,13 @@
 	}
 	g.mu.Unlock()
 	for _, c := range conns {
-		if c.reach() == ReachClose {
+		if c.reach() == ConnectivityClosed {
 			_ = c.Close()
 		}
 	}
 }
 
-func (g *gate) from(caller netip.Addr) Reach {
+func (g *gate) from(caller netip.Addr) Connectivity {
 	g.mu.Lock()
 	one, ok := g.byAddr[caller]
 	reach := g.reach
@@ -47,7 +47,7 @@
 		return one
 	}
 	if reach == nil {
-		return ReachOpen
+		return ConnectivityNormal
 	}
 	return reach(caller)
 }
@@ -72,7 +72,7 @@
 			return nil, err
 		}
 		gated := &gatedConn{Conn: conn, gate: l.gate, caller: callerAddr(conn), closed: make(chan struct{}), connectTime: l.connectTime}
-		if gated.reach() == ReachClose {
+		if gated.reach() == ConnectivityClosed {
 			_ = conn.Close()
 			continue
 		}
@@ -101,7 +101,7 @@
 	closed      chan struct{}
 }
 
-func (c *gatedConn) reach() Reach {
+func (c *gatedConn) reach() Connectivity {
 	return c.gate.from(c.caller)
 }
 
@@ -112,7 +112,7 @@
 		c.connectTime = 0
 	}
 	n, err := c.Conn.Read(p)
-	for err == nil && c.reach() == ReachNone {
+	for err == nil && c.reach() == ConnectivityBlackhole {
 		if !c.pause(reachCheck) {
 			return 0, net.ErrClosed
 		}
@@ -123,7 +123,7 @@
 // Write sends p, or drops it while no answer can come back.
 func (c *gatedConn) Write(p []byte) (int, error) {
 	switch c.reach() {
-	case ReachMute, ReachNone:
+	case ConnectivityNoReplies, ConnectivityBlackhole:
 		return len(p), nil
 	default:
 		return c.Conn.Write(p)
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -140,18 +140,18 @@
 	return e.faults
 }
 
-// SetReach says from where the endpoint can be reached; nil is from everywhere.
-func (e *Endpoint) SetReach(reach ReachFrom) {
+// SetConnectivity says from where the endpoint can be reached; nil is from everywhere.
+func (e *Endpoint) SetConnectivity(reach ConnectivityFunc) {
 	e.gate.change(func() { e.gate.reach = reach })
 }
 
-// SetReachOf sets the reach from one caller's address; it goes before SetReach.
-func (e *Endpoint) SetReachOf(caller netip.Addr, reach Reach) {
+// SetConnectivityFrom sets the reach from one caller's address; it goes before SetReach.
+func (e *Endpoint) SetConnectivityFrom(caller netip.Addr, reach Connectivity) {
 	e.gate.change(func() { e.gate.byAddr[caller.Unmap()] = reach })
 }
 
-// Leave starts draining: new work is refused, work under way is finished.
-func (e *Endpoint) Leave() {
+// Drain starts draining: new work is refused, work under way is finished.
+func (e *Endpoint) Drain() {
 	e.mu.Lock()
 	if e.leaving.IsZero() {
 		e.leaving = time.Now()
@@ -160,8 +160,8 @@
 	e.changed()
 }
 
-// LeavingSince returns when draining started; zero before.
-func (e *Endpoint) LeavingSince() time.Time {
+// DrainingSince returns when draining started; zero before.
+func (e *Endpoint) DrainingSince() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leaving
@@ -194,10 +194,10 @@
 	return n
 }
 
-// LastGapAfter returns how long after t the endpoint went on starting work until it
+// TimeUntilQuiet returns how long after t the endpoint went on starting work until it
 // started none for quiet, and whether that has happened yet. It measures how long a
 // faulty endpoint keeps receiving work.
-func (e *Endpoint) LastGapAfter(t time.Time, quiet time.Duration) (time.Duration, bool) {
+func (e *Endpoint) TimeUntilQuiet(t time.Time, quiet time.Duration) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	last := t
@@ -225,7 +225,7 @@
 
 // Shutdown waits until what is under way is answered or ctx ends, then stops the endpoint.
 func (e *Endpoint) Shutdown(ctx context.Context) error {
-	e.Leave()
+	e.Drain()
 	if err := e.server.Shutdown(ctx); err != nil {
 		return fmt.Errorf("stop endpoint %s: %w", e.addr, err)
 	}
--- a/internal/upstream/faults.go
+++ b/internal/upstream/faults.go
@@ -77,22 +77,22 @@
 	return endWhole
 }
 
-// Reach says how far an endpoint can be reached from a caller's address.
-type Reach uint8
+// Connectivity says how far an endpoint can be reached from a caller's address.
+type Connectivity uint8
 
 // Kinds of reach.
 const (
-	ReachOpen  Reach = iota
-	ReachClose       // Connections are closed at once, also those that were open.
-	ReachNone        // Connections are taken, and nothing that is sent arrives.
-	ReachMute        // Requests arrive and run, and no byte of an answer comes back.
+	ConnectivityNormal    Connectivity = iota
+	ConnectivityClosed                 // Connections are closed at once, also those that were open.
+	ConnectivityBlackhole              // Connections are taken, and nothing that is sent arrives.
+	ConnectivityNoReplies              // Requests arrive and run, and no byte of an answer comes back.
 )
 
 // reachNames are the words for each kind of reach.
-var reachNames = map[string]Reach{"open": ReachOpen, "close": ReachClose, "none": ReachNone, "mute": ReachMute}
+var reachNames = map[string]Connectivity{"open": ConnectivityNormal, "close": ConnectivityClosed, "none": ConnectivityBlackhole, "mute": ConnectivityNoReplies}
 
-// ParseReach returns the reach that a word names: "open", "close", "none" or "mute".
-func ParseReach(word string) (Reach, error) {
+// ParseConnectivity returns the reach that a word names: "open", "close", "none" or "mute".
+func ParseConnectivity(word string) (Connectivity, error) {
 	reach, ok := reachNames[word]
 	if !ok {
 		return 0, fmt.Errorf(`reach %q is none of "open", "close", "none", "mute"`, word)
@@ -100,5 +100,5 @@
 	return reach, nil
 }
 
-// ReachFrom tells the reach from a caller's address. It must be safe for concurrent use.
-type ReachFrom func(caller netip.Addr) Reach
+// ConnectivityFunc tells the reach from a caller's address. It must be safe for concurrent use.
+type ConnectivityFunc func(caller netip.Addr) Connectivity
--- a/internal/upstream/host.go
+++ b/internal/upstream/host.go
@@ -10,11 +10,11 @@
 
 // HostOptions are the parameters of a Host.
 type HostOptions struct {
-	Seed          uint64
-	RecordLookups bool // Records idempotent requests too; costs memory for each.
-	// Changed is told after an endpoint was added, became warm, started to leave or was
+	Seed             uint64
+	RecordIdempotent bool // Records idempotent requests too; costs memory for each.
+	// OnChange is told after an endpoint was added, became warm, started to leave or was
 	// removed. It may read Host.Upstreams; it may be nil.
-	Changed func(h *Host)
+	OnChange func(h *Host)
 }
 
 // Host holds the endpoints of one process. It is safe for concurrent use.
@@ -32,7 +32,7 @@
 func NewHost(o HostOptions) *Host {
 	return &Host{
 		options:   o,
-		recorder:  NewRecorder(o.RecordLookups),
+		recorder:  NewRecorder(o.RecordIdempotent),
 		endpoints: make(map[fleet.Endpoint]*Endpoint),
 	}
 }
@@ -125,7 +125,7 @@
 }
 
 func (h *Host) changed() {
-	if h.options.Changed != nil {
-		h.options.Changed(h)
+	if h.options.OnChange != nil {
+		h.options.OnChange(h)
 	}
 }
--- a/internal/upstream/job.go
+++ b/internal/upstream/job.go
@@ -109,7 +109,7 @@
 	if r.Method != http.MethodPost {
 		return false
 	}
-	for _, prefix := range e.spec.OrderPaths {
+	for _, prefix := range e.spec.NonIdempotentPaths {
 		if strings.HasPrefix(r.URL.Path, prefix) {
 			return true
 		}
--- a/internal/upstream/record.go
+++ b/internal/upstream/record.go
@@ -17,11 +17,11 @@
 
 // Record is what the endpoints of a Host did for one request ID.
 type Record struct {
-	ID       string  `json:"id"`
-	Order    bool    `json:"order"` // The request is not idempotent.
-	Account  string  `json:"account"`
-	Starts   []Start `json:"starts"`
-	Finished int     `json:"finished"` // Starts that ran to their end.
+	ID            string  `json:"id"`
+	NonIdempotent bool    `json:"order"` // The request is not idempotent.
+	Account       string  `json:"account"`
+	Starts        []Start `json:"starts"`
+	Finished      int     `json:"finished"` // Starts that ran to their end.
 }
 
 // Recorder counts starts by request ID. It is safe for concurrent use.
@@ -50,7 +50,7 @@
 	}
 	record, ok := r.records[id]
 	if !ok {
-		record = &Record{ID: id, Order: order, Account: account}
+		record = &Record{ID: id, NonIdempotent: order, Account: account}
 		r.records[id] = record
 	}
 	record.Starts = append(record.Starts, s)
@@ -91,26 +91,26 @@
 
 // Summary counts what is recorded.
 type Summary struct {
-	Requests int      `json:"requests"` // Request IDs that started at least once.
-	Orders   int      `json:"orders"`   // Those of them that are not idempotent.
-	Starts   int      `json:"starts"`
-	Doubled  []string `json:"doubled"` // IDs of orders that started more than once.
-	Unnamed  uint64   `json:"unnamed"` // Starts without a request ID.
+	Requests      int      `json:"requests"` // Request IDs that started at least once.
+	NonIdempotent int      `json:"orders"`   // Those of them that are not idempotent.
+	Starts        int      `json:"starts"`
+	Duplicated    []string `json:"doubled"` // IDs of orders that started more than once.
+	Unnamed       uint64   `json:"unnamed"` // Starts without a request ID.
 }
 
 // Summary returns the counts so far.
 func (r *Recorder) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Summary{Requests: len(r.records), Unnamed: r.unnamed, Doubled: []string{}}
+	s := Summary{Requests: len(r.records), Unnamed: r.unnamed, Duplicated: []string{}}
 	for id, record := range r.records {
 		s.Starts += len(record.Starts)
-		if !record.Order {
+		if !record.NonIdempotent {
 			continue
 		}
-		s.Orders++
+		s.NonIdempotent++
 		if len(record.Starts) > 1 {
-			s.Doubled = append(s.Doubled, id)
+			s.Duplicated = append(s.Duplicated, id)
 		}
 	}
 	return s
--- a/internal/upstream/spec.go
+++ b/internal/upstream/spec.go
@@ -20,7 +20,7 @@
 	HeaderDeadline   = "X-Request-Deadline-Ms" // Request: milliseconds left.
 	HeaderInstance   = "X-Instance"            // Request: the entry instance that sends it; optional.
 	HeaderNotStarted = "X-Not-Started"         // Answer: "1" when the request did not start.
-	HeaderLeaving    = "X-Leaving"             // Answer: "1" when the endpoint drains.
+	HeaderDraining   = "X-Leaving"             // Answer: "1" when the endpoint drains.
 	HeaderLoad       = "X-Load"                // Answer: share of the slots in use, 0 to 1.
 	HeaderEndpoint   = "X-Endpoint"            // Answer: the endpoint's address.
 )
@@ -38,20 +38,20 @@
 
 // Spec describes an endpoint. Zero fields take the defaults, where there is one.
 type Spec struct {
-	Service     fleet.Service
-	Addr        string // IP number and port; port 0 takes a free one; empty for 127.0.0.1:0.
-	Zone        fleet.Zone
-	Slots       int           // Requests run at once.
-	Queue       int           // Requests that wait for a slot; the next one is shed. Negative for none.
-	Median      time.Duration // Of the service time, which is lognormal.
-	Spread      float64       // Standard deviation of the service time's logarithm; negative for none.
-	ColdStart   time.Duration // Time until it is warm; 0 starts it warm.
-	ColdFactor  float64       // Service time at the start of the cold time, as a multiple.
-	Lag         time.Duration // Of the health and load endpoints.
-	ProbeTime   time.Duration // Of one probe; negative for none.
-	ConnectTime time.Duration // Before the first byte of a connection is read; negative for none.
-	IdleTimeout time.Duration // After which idle connections are closed; 0 for never.
-	OrderPaths  []string      // Path prefixes under which POST is not idempotent.
+	Service            fleet.Service
+	Addr               string // IP number and port; port 0 takes a free one; empty for 127.0.0.1:0.
+	Zone               fleet.Zone
+	Slots              int           // Requests run at once.
+	Queue              int           // Requests that wait for a slot; the next one is shed. Negative for none.
+	Median             time.Duration // Of the service time, which is lognormal.
+	Spread             float64       // Standard deviation of the service time's logarithm; negative for none.
+	ColdStart          time.Duration // Time until it is warm; 0 starts it warm.
+	ColdFactor         float64       // Service time at the start of the cold time, as a multiple.
+	Lag                time.Duration // Of the health and load endpoints.
+	ProbeTime          time.Duration // Of one probe; negative for none.
+	ConnectTime        time.Duration // Before the first byte of a connection is read; negative for none.
+	IdleTimeout        time.Duration // After which idle connections are closed; 0 for never.
+	NonIdempotentPaths []string      // Path prefixes under which POST is not idempotent.
 }
 
 func (s Spec) withDefaults() Spec {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -19,12 +19,12 @@
 
 // fast is a spec without waits.
 func fast() Spec {
-	return Spec{Service: "orders", Slots: 2, Queue: -1, Median: 1, Spread: -1, ProbeTime: -1, ConnectTime: -1, OrderPaths: []string{"/orders"}}
+	return Spec{Service: "orders", Slots: 2, Queue: -1, Median: 1, Spread: -1, ProbeTime: -1, ConnectTime: -1, NonIdempotentPaths: []string{"/orders"}}
 }
 
 func newTestHost(t *testing.T, specs ...Spec) (*Host, []*Endpoint) {
 	t.Helper()
-	h := NewHost(HostOptions{Seed: 1, RecordLookups: true})
+	h := NewHost(HostOptions{Seed: 1, RecordIdempotent: true})
 	t.Cleanup(func() { _ = h.Close() })
 	for _, spec := range specs {
 		if _, err := h.Add(spec); err != nil {
@@ -149,12 +149,12 @@
 		result <- got
 	}()
 	waitUntil(func() bool { return e[0].Stats().InFlight == 1 })
-	e[0].Leave()
+	e[0].Drain()
 	got, err := send(context.Background(), e[0], http.MethodGet, "/stock", "new")
-	if err != nil || got.status != http.StatusServiceUnavailable || got.header.Get(HeaderNotStarted) != "1" || got.header.Get(HeaderLeaving) != "1" {
+	if err != nil || got.status != http.StatusServiceUnavailable || got.header.Get(HeaderNotStarted) != "1" || got.header.Get(HeaderDraining) != "1" {
 		t.Fatalf("new work while leaving: %+v %v", got, err)
 	}
-	if old := <-result; old.status != http.StatusOK || old.header.Get(HeaderLeaving) != "1" {
+	if old := <-result; old.status != http.StatusOK || old.header.Get(HeaderDraining) != "1" {
 		t.Fatalf("work under way: %+v", old)
 	}
 	if e[0].Upstream().State != fleet.UpstreamLeaving {
@@ -212,22 +212,22 @@
 
 func TestReach(t *testing.T) {
 	h, e := newTestHost(t, fast())
-	set := func(reach Reach) {
-		e[0].SetReach(func(caller netip.Addr) Reach {
+	set := func(reach Connectivity) {
+		e[0].SetConnectivity(func(caller netip.Addr) Connectivity {
 			if caller == netip.MustParseAddr("127.0.0.1") {
 				return reach
 			}
-			return ReachOpen
+			return ConnectivityNormal
 		})
 	}
 	short := func() (context.Context, context.CancelFunc) {
 		return context.WithTimeout(context.Background(), 100*time.Millisecond)
 	}
-	set(ReachClose)
+	set(ConnectivityClosed)
 	if _, err := send(context.Background(), e[0], http.MethodPost, "/orders", "closed"); err == nil {
 		t.Fatal("a closed reach answered")
 	}
-	set(ReachNone)
+	set(ConnectivityBlackhole)
 	ctx, cancel := short()
 	if _, err := send(ctx, e[0], http.MethodPost, "/orders", "none"); err == nil {
 		t.Fatal("no reach answered")
@@ -236,7 +236,7 @@
 	if h.Recorder().Starts("none") != 0 {
 		t.Fatal("a request arrived without reach")
 	}
-	set(ReachMute)
+	set(ConnectivityNoReplies)
 	ctx, cancel = context.WithCancel(context.Background())
 	go func() {
 		waitUntil(func() bool { return h.Recorder().Starts("mute") == 1 })
@@ -248,7 +248,7 @@
 	if h.Recorder().Starts("closed") != 0 || h.Recorder().Starts("mute") != 1 {
 		t.Fatal("wrong starts")
 	}
-	set(ReachOpen)
+	set(ConnectivityNormal)
 	if got, err := send(context.Background(), e[0], http.MethodPost, "/orders", "open"); err != nil || got.status != 200 {
 		t.Fatalf("open again: %+v %v", got, err)
 	}
@@ -257,21 +257,21 @@
 func TestReachOfOneAddressGoesFirst(t *testing.T) {
 	_, e := newTestHost(t, fast())
 	local := netip.MustParseAddr("127.0.0.1")
-	e[0].SetReach(func(netip.Addr) Reach { return ReachClose })
-	e[0].SetReachOf(local, ReachOpen)
+	e[0].SetConnectivity(func(netip.Addr) Connectivity { return ConnectivityClosed })
+	e[0].SetConnectivityFrom(local, ConnectivityNormal)
 	if got, err := send(context.Background(), e[0], http.MethodPost, "/orders", "open"); err != nil || got.status != 200 {
 		t.Fatalf("%+v %v", got, err)
 	}
-	e[0].SetReachOf(local, ReachClose)
+	e[0].SetConnectivityFrom(local, ConnectivityClosed)
 	if _, err := send(context.Background(), e[0], http.MethodPost, "/orders", "closed"); err == nil {
 		t.Fatal("answered")
 	}
-	for word, want := range map[string]Reach{"open": ReachOpen, "close": ReachClose, "none": ReachNone, "mute": ReachMute} {
-		if got, err := ParseReach(word); err != nil || got != want {
+	for word, want := range map[string]Connectivity{"open": ConnectivityNormal, "close": ConnectivityClosed, "none": ConnectivityBlackhole, "mute": ConnectivityNoReplies} {
+		if got, err := ParseConnectivity(word); err != nil || got != want {
 			t.Errorf("%s: %v %v", word, got, err)
 		}
 	}
-	if _, err := ParseReach("half"); err == nil {
+	if _, err := ParseConnectivity("half"); err == nil {
 		t.Error("taken")
 	}
 }
--- a/internal/upstream/work.go
+++ b/internal/upstream/work.go
@@ -18,15 +18,15 @@
 
 // Answer is the body of an answer to work. A caller compares RequestID, Account and BodyHash with its own.
 type Answer struct {
-	RequestID string         `json:"request_id"`
-	Account   string         `json:"account"`
-	Service   fleet.Service  `json:"service"`
-	Endpoint  fleet.Endpoint `json:"endpoint"`
-	Method    string         `json:"method"`
-	URI       string         `json:"uri"`
-	BodyHash  uint64         `json:"body_hash"` // HashBody of the request's body.
-	Run       int            `json:"run"`       // Counts the starts of the request ID on this host.
-	Padding   string         `json:"padding,omitempty"`
+	RequestID   string         `json:"request_id"`
+	Account     string         `json:"account"`
+	Service     fleet.Service  `json:"service"`
+	Endpoint    fleet.Endpoint `json:"endpoint"`
+	Method      string         `json:"method"`
+	URI         string         `json:"uri"`
+	BodyHash    uint64         `json:"body_hash"` // HashBody of the request's body.
+	StartNumber int            `json:"run"`       // Counts the starts of the request ID on this host.
+	Padding     string         `json:"padding,omitempty"`
 }
 
 // HashBody returns the hash that an Answer carries for a request's body.
@@ -191,14 +191,14 @@
 
 func (e *Endpoint) answerBody(r *http.Request, j job, run int) ([]byte, error) {
 	return json.Marshal(Answer{
-		RequestID: j.id,
-		Account:   j.account,
-		Service:   e.spec.Service,
-		Endpoint:  e.addr,
-		Method:    r.Method,
-		URI:       r.URL.RequestURI(),
-		BodyHash:  HashBody(j.body),
-		Run:       run,
-		Padding:   strings.Repeat("x", j.size),
+		RequestID:   j.id,
+		Account:     j.account,
+		Service:     e.spec.Service,
+		Endpoint:    e.addr,
+		Method:      r.Method,
+		URI:         r.URL.RequestURI(),
+		BodyHash:    HashBody(j.body),
+		StartNumber: run,
+		Padding:     strings.Repeat("x", j.size),
 	})
 }
