--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -13,77 +13,79 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// ending is how one attempt ended.
-type ending uint8
+// outcome is the result of one attempt.
+type outcome uint8
 
 const (
-	endedServed   ending = iota + 1 // An answer to deliver.
-	endedFailed                     // The endpoint ran it and answered with a failure of its own.
-	endedNotRun                     // The endpoint says that it did not run it.
-	endedNotSent                    // No byte left.
-	endedBroken                     // It may have run; no whole answer came.
-	endedTimedOut                   // It may have run; no answer came in time.
-	endedLeft                       // The caller left.
+	outcomeServed     outcome = iota + 1 // The answer can be delivered.
+	outcomeFailed                        // The endpoint ran the request and answered with a server error.
+	outcomeNotRun                        // The endpoint reports that it did not run the request.
+	outcomeNotSent                       // No byte of the request was sent.
+	outcomeIncomplete                    // The request may have run; no complete, valid answer arrived.
+	outcomeTimedOut                      // The request may have run; no answer arrived before the deadline.
+	outcomeCallerLeft                    // The caller disconnected.
 )
 
-var endingNames = map[ending]string{
-	endedServed: "served", endedFailed: "failed", endedNotRun: "not-run", endedNotSent: "not-sent",
-	endedBroken: "broken", endedTimedOut: "timed-out", endedLeft: "caller-left",
+var outcomeNames = map[outcome]string{
+	outcomeServed: "served", outcomeFailed: "failed", outcomeNotRun: "not-run", outcomeNotSent: "not-sent",
+	outcomeIncomplete: "broken", outcomeTimedOut: "timed-out", outcomeCallerLeft: "caller-left",
 }
 
-func (e ending) String() string { return endingNames[e] }
+func (e outcome) String() string { return outcomeNames[e] }
 
-// attempt is one sending of a request to one endpoint.
+// attempt is one try to send a request to one endpoint.
 type attempt struct {
 	grant   dispatch.Grant
 	started time.Time
-	took    time.Duration
-	ending  ending
-	reused  bool // An idle connection was used.
+	elapsed time.Duration
+	outcome outcome
+	reused  bool // An idle connection was reused.
 	err     error
-	resp    *fasthttp.Response // Set where an answer came.
-	stream  *stream            // The answer's body where it is still coming.
-	release func(whole bool)   // Gives the connection back once the stream has ended.
+	resp    *fasthttp.Response  // Nil if no answer arrived.
+	stream  *stream             // The answer's body, if it is streamed.
+	release func(reusable bool) // Returns the connection to the pool, or closes it.
 }
 
-// maxStrays bounds the answers of other requests that are skipped on a connection.
-const maxStrays = 4
+// maxMismatched is the number of answers to other requests that are skipped on a connection
+// before the attempt fails.
+const maxMismatched = 4
 
-// send sends a request to the granted endpoint and reads its answer. ctx ends the attempt.
+// send sends a request to the granted endpoint and reads its answer. Cancelling ctx aborts the
+// attempt by closing its connection.
 func (f *Forwarder) send(ctx context.Context, r *request, req *fasthttp.Request, a *attempt) {
 	to := target{id: a.grant.Endpoint.ID, addr: a.grant.Endpoint.Address}
-	conn := f.pool.take(to, a.started)
+	conn := f.pool.get(to, a.started)
 	a.reused = conn != nil
 	if conn == nil {
 		var err error
 		if conn, err = httpconn.Dial(to.addr, min(dialTimeout, time.Until(r.deadline)), unackedTimeout); err != nil {
-			a.ending, a.err = endedNotSent, err
+			a.outcome, a.err = outcomeNotSent, err
 			return
 		}
 		f.metrics.dials.Add(1)
 	}
 	if err := conn.SetKeepAlive(false); err != nil {
 		_ = conn.Close()
-		a.ending, a.err = endedNotSent, err
+		a.outcome, a.err = outcomeNotSent, err
 		return
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	if ctx.Err() != nil {
 		stop()
 		_ = conn.Close()
-		a.ending, a.err = endedNotSent, ctx.Err()
+		a.outcome, a.err = outcomeNotSent, ctx.Err()
 		return
 	}
 	if pause.Elapsed(a.started, time.Now()) >= pause.MinPause {
 		stop()
 		_ = conn.Close()
-		a.ending, a.err = endedNotSent, errPaused
+		a.outcome, a.err = outcomeNotSent, errPaused
 		return
 	}
-	f.exchange(r, req, a, conn)
-	a.release = func(whole bool) {
+	f.roundTrip(r, req, a, conn)
+	a.release = func(reusable bool) {
 		stop()
-		if !whole {
+		if !reusable {
 			_ = conn.Close()
 			return
 		}
@@ -92,98 +94,100 @@
 	if a.stream != nil {
 		return
 	}
-	if ctx.Err() != nil && a.ending == endedBroken {
-		a.ending = endedLeft
+	if ctx.Err() != nil && a.outcome == outcomeIncomplete {
+		a.outcome = outcomeCallerLeft
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			a.ending = endedTimedOut
+			a.outcome = outcomeTimedOut
 		}
 	}
-	a.release(a.ending == endedServed || a.ending == endedFailed || a.ending == endedNotRun)
+	a.release(a.outcome == outcomeServed || a.outcome == outcomeFailed || a.outcome == outcomeNotRun)
 }
 
-// exchange sends the request on a connection and sorts out what comes back.
-func (f *Forwarder) exchange(r *request, req *fasthttp.Request, a *attempt, conn *httpconn.Conn) {
-	prepare(&req.Header)
+// roundTrip sends the request on a connection, reads the answer and sets the attempt's outcome.
+func (f *Forwarder) roundTrip(r *request, req *fasthttp.Request, a *attempt, conn *httpconn.Conn) {
+	prepareHeader(&req.Header)
 	platform.SetUpstreamHeaders(&req.Header, time.Until(r.deadline), a.grant.Endpoint.Name)
 	sent, err := conn.Send(req, r.deadline)
 	if !sent {
-		a.ending, a.err = endedNotSent, err
+		a.outcome, a.err = outcomeNotSent, err
 		return
 	}
-	// An endpoint may refuse a long request before it has read it all: its answer counts.
+	// An endpoint may reject a long request before it has read all of it, which makes the write
+	// fail. Its answer is still read.
 	a.resp = fasthttp.AcquireResponse()
 	a.resp.SkipBody = req.Header.IsHead()
 	var answer platform.ResponseInfo
-	var rest *httpconn.Body
-	for strays := 0; ; strays++ {
+	var body *httpconn.Body
+	for mismatched := 0; ; mismatched++ {
 		var recvErr error
-		if rest, recvErr = conn.ReceiveBuffered(a.resp, f.gatherBytes()); recvErr != nil {
-			a.ending, a.err = endedBroken, errors.Join(err, recvErr)
+		if body, recvErr = conn.ReceiveBuffered(a.resp, f.bufferLimit()); recvErr != nil {
+			a.outcome, a.err = outcomeIncomplete, errors.Join(err, recvErr)
 			if errors.Is(recvErr, httpconn.ErrTimedOut) {
-				a.ending = endedTimedOut
+				a.outcome = outcomeTimedOut
 			}
 			return
 		}
 		answer = platform.ReadResponseInfo(&a.resp.Header)
-		if answer.RequestID == r.ID || answer.RequestID == "" && !a.reused && strays == 0 {
+		if answer.RequestID == r.ID || answer.RequestID == "" && !a.reused && mismatched == 0 {
 			break
 		}
-		f.metrics.strays.Add(1)
-		if strays >= maxStrays || rest != nil || a.resp.ConnectionClose() {
-			a.ending, a.err = endedBroken, errStray
+		f.metrics.mismatched.Add(1)
+		if mismatched >= maxMismatched || body != nil || a.resp.ConnectionClose() {
+			a.outcome, a.err = outcomeIncomplete, errMismatched
 			return
 		}
 	}
 	if err != nil {
 		a.resp.SetConnectionClose()
 	}
-	a.ending, a.err = classify(a.resp.StatusCode(), answer)
-	if rest == nil {
+	a.outcome, a.err = classify(a.resp.StatusCode(), answer)
+	if body == nil {
 		return
 	}
-	if a.ending == endedServed || a.ending == endedFailed {
-		a.err = r.passOn(a, rest)
+	if a.outcome == outcomeServed || a.outcome == outcomeFailed {
+		a.err = r.startStream(a, body)
 	}
 	if a.stream == nil {
-		// What is left of it is not worth reading.
+		// The rest of the body is discarded with its connection.
 		a.resp.SetConnectionClose()
 	}
 	if a.err != nil {
-		a.ending = endedBroken
+		a.outcome = outcomeIncomplete
 	}
 }
 
+// Errors of an attempt. All but errPaused are written into the answer to the caller.
 var (
-	errPaused   = errors.New("the process has stood still since the upstream was chosen")
-	errStray    = errors.New("the answer belongs to another request")
-	errUnsigned = errors.New("the answer bears no upstream's signature")
-	errEncoded  = errors.New("the answer's body is encoded")
+	errPaused     = errors.New("the process was paused after the endpoint was chosen; the request was not sent")
+	errMismatched = errors.New("the answer belongs to another request")
+	errUnsigned   = errors.New("the answer bears no upstream's signature")
+	errEncoded    = errors.New("the answer's body is encoded")
 )
 
-// classify tells what an answer that came whole means.
-func classify(status int, answer platform.ResponseInfo) (ending, error) {
+// classify returns the outcome of an attempt from the answer's status and headers.
+func classify(status int, answer platform.ResponseInfo) (outcome, error) {
 	switch {
 	case answer.NotExecuted:
-		return endedNotRun, nil
+		return outcomeNotRun, nil
 	case !answer.Signed:
-		return endedBroken, errUnsigned
+		return outcomeIncomplete, errUnsigned
 	case answer.Encoded:
-		return endedBroken, errEncoded
+		return outcomeIncomplete, errEncoded
 	case status >= fasthttp.StatusInternalServerError:
-		return endedFailed, nil
+		return outcomeFailed, nil
 	default:
-		return endedServed, nil
+		return outcomeServed, nil
 	}
 }
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection and are not forwarded.
 var hopByHop = []string{
 	fasthttp.HeaderConnection, "Keep-Alive", "Proxy-Connection", fasthttp.HeaderProxyAuthenticate, fasthttp.HeaderProxyAuthorization,
 	fasthttp.HeaderTE, fasthttp.HeaderTrailer, fasthttp.HeaderTransferEncoding, fasthttp.HeaderUpgrade, fasthttp.HeaderExpect,
 }
 
-// prepare takes a caller's connection out of a request's head.
-func prepare(h *fasthttp.RequestHeader) {
+// prepareHeader removes hop-by-hop headers from a request and sets HTTP/1.1.
+func prepareHeader(h *fasthttp.RequestHeader) {
 	for _, name := range hopByHop {
 		h.Del(name)
 	}
@@ -191,34 +195,35 @@
 	h.SetProtocol("HTTP/1.1")
 }
 
-// eventOf returns what an attempt tells of its endpoint.
-func (a *attempt) eventOf() dispatch.EventKind {
-	switch a.ending {
-	case endedServed:
+// eventKind returns the event that is recorded for the attempt's endpoint.
+func (a *attempt) eventKind() dispatch.EventKind {
+	switch a.outcome {
+	case outcomeServed:
 		return dispatch.EndedServed
-	case endedFailed:
+	case outcomeFailed:
 		return dispatch.EndedFailed
-	case endedNotRun:
+	case outcomeNotRun:
 		return dispatch.EndedRefused
-	case endedBroken, endedTimedOut:
+	case outcomeIncomplete, outcomeTimedOut:
 		return dispatch.EndedBroken
 	default:
 		return dispatch.EndedUnknown
 	}
 }
 
-// size returns the size of the answer's body, or what is known to be its least.
-func (a *attempt) size() int {
+// bodySize returns the size of the answer's body in bytes, or a lower bound if it is streamed
+// without a length.
+func (a *attempt) bodySize() int {
 	if a.stream != nil {
-		return max(a.stream.body.Size(), gatherMost)
+		return max(a.stream.body.Size(), maxBuffered)
 	}
 	return len(a.resp.Body())
 }
 
-// report returns the attempt as the log shows it.
-func (a *attempt) report() Attempt {
+// logRecord returns the attempt in the form that is logged.
+func (a *attempt) logRecord() Attempt {
 	out := Attempt{
-		Upstream: a.grant.Endpoint.Name, Outcome: a.ending.String(), Millis: a.took.Milliseconds(),
+		Upstream: a.grant.Endpoint.Name, Outcome: a.outcome.String(), Millis: a.elapsed.Milliseconds(),
 		Chance: a.grant.Chance, InFlight: a.grant.InFlight, Reused: a.reused,
 	}
 	if a.err != nil {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -13,40 +13,40 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// Dispatcher decides where requests go.
+// Dispatcher assigns requests to endpoints and records the results.
 type Dispatcher interface {
-	// Acquire gives a request an endpoint. The error is a *Rejected where it is turned away.
+	// Acquire grants a request an endpoint. The error is a *Rejected if the request is not admitted.
 	Acquire(a dispatch.Request) (dispatch.Grant, error)
-	// Ended tells how a granted request ended.
+	// Ended records the result and the duration of a granted request.
 	Ended(g dispatch.Grant, kind dispatch.EventKind, took time.Duration)
-	// SendFailed tells that a granted request could not be sent.
+	// SendFailed records that a granted request could not be sent.
 	SendFailed(g dispatch.Grant)
-	// RecordResponseSize tells the size of the body of an answer to a request of a class.
+	// RecordResponseSize records the body size of an answer to a request of a size class.
 	RecordResponseSize(class string, bytes int)
-	// Overdue tells that a granted request has no answer for many times the usual time.
+	// Overdue records that a granted request has had no answer for a multiple of the baseline latency.
 	Overdue(g dispatch.Grant)
 }
 
-// Rejected is the error of a request that gets no endpoint.
+// Rejected is the error of a request that is granted no endpoint.
 type Rejected struct {
 	dispatch.Rejection
 }
 
 func (r *Rejected) Error() string {
-	return fmt.Sprintf("request is turned away for reason %d", r.Reason)
+	return fmt.Sprintf("no endpoint was granted: rejection reason %d", r.Reason)
 }
 
 // Request is a routed request.
 type Request struct {
-	ID       string // The caller's id of this attempt.
+	ID       string // Request ID that the caller sent.
 	Route    platform.Route
 	Service  string
 	HTTP     *fasthttp.Request
 	Arrived  time.Time
-	Deadline time.Time // The caller's and the route's, whichever is earlier.
+	Deadline time.Time // The earlier of the caller's deadline and the route's timeout.
 }
 
-// Report is what became of a request, for the log.
+// Report is the result of a request, for the log.
 type Report struct {
 	Code     result.Code
 	Status   int
@@ -54,7 +54,7 @@
 	Attempts []Attempt
 }
 
-// Attempt is one sending, for the log.
+// Attempt is one attempt of a request, for the log.
 type Attempt struct {
 	Upstream string  `json:"upstream"`
 	Outcome  string  `json:"ending"`
@@ -70,11 +70,11 @@
 	dispatcher Dispatcher
 	pool       *pool
 	metrics    metrics
-	inService  func() int64 // Nil where it is not known.
+	inService  func() int64 // Nil if SetInServiceCount was not called.
 }
 
 type metrics struct {
-	dials, strays, brokenStreams atomic.Int64
+	dials, mismatched, brokenStreams atomic.Int64
 }
 
 // New returns a Forwarder.
@@ -85,53 +85,54 @@
 // Counts are the Forwarder's counters since its start.
 type Counts struct {
 	Dials             int64 // Connections opened to upstreams.
-	MismatchedAnswers int64 // Answers to other requests, skipped.
-	BrokenStreams     int64 // Answers that broke off while they were passed on.
+	MismatchedAnswers int64 // Answers that carried another request's ID and were skipped.
+	BrokenStreams     int64 // Answers that were truncated while they were streamed to the caller.
 }
 
-// Counts returns the counters.
 func (f *Forwarder) Counts() Counts {
-	return Counts{Dials: f.metrics.dials.Load(), MismatchedAnswers: f.metrics.strays.Load(), BrokenStreams: f.metrics.brokenStreams.Load()}
+	return Counts{Dials: f.metrics.dials.Load(), MismatchedAnswers: f.metrics.mismatched.Load(), BrokenStreams: f.metrics.brokenStreams.Load()}
 }
 
-// Sweep closes upstream connections that have been idle for too long.
+// Sweep closes upstream connections that are past their idle timeout.
 func (f *Forwarder) Sweep(now time.Time) {
-	f.pool.sweep(now)
+	f.pool.closeExpired(now)
 }
 
-// CloseIdleConnections closes the idle connections to upstreams, whose other sides may have given them up.
+// CloseIdleConnections closes the idle connections to upstreams. The upstreams may have dropped
+// their ends.
 func (f *Forwarder) CloseIdleConnections() {
-	f.pool.clear()
+	f.pool.closeAll()
 }
 
-// answerMargin is kept to a deadline, so that the answer is there before the caller gives up.
+// answerMargin is subtracted from the deadline, so that the answer arrives before the caller
+// times out.
 const answerMargin = 15 * time.Millisecond
 
-// maxOpen is the most attempts of one request that are under way at a time.
-const maxOpen = 2
+// maxConcurrentAttempts bounds the concurrent attempts of one request: the first and one hedge.
+const maxConcurrentAttempts = 2
 
-// overdueFactor is the multiple of an endpoint's usual time after which a request runs long.
+// overdueFactor is the multiple of an endpoint's baseline latency after which an attempt is overdue.
 const overdueFactor = 4
 
-// request is one request on its way.
+// request is the state of one request.
 type request struct {
 	Request
-	deadline time.Time // When its final answer is due.
-	tried    []dispatch.EndpointID
-	attempts []*attempt // That have ended.
-	sent     int        // Attempts of which a byte may have left.
-	open     int        // Attempts under way.
-	endings  chan *attempt
-	report   Report
-	failure  *attempt // The last one that an endpoint answered with a failure.
+	deadline  time.Time // When the final answer is due: the caller's deadline less answerMargin.
+	tried     []dispatch.EndpointID
+	attempts  []*attempt // Completed attempts.
+	sent      int        // Attempts of which a byte may have been sent.
+	running   int        // Attempts in progress.
+	completed chan *attempt
+	report    Report
+	failure   *attempt // Last attempt that an endpoint answered with a server error.
 
 	cancel    context.CancelFunc
-	streaming bool // The answer is passed on while it comes; the request ends with it.
+	streaming bool // The answer is streamed; ctx is cancelled when the stream ends.
 }
 
-// Serve carries a request through and fills in its answer.
+// Serve forwards a request and fills in its answer.
 func (f *Forwarder) Serve(ctx context.Context, in Request, resp *fasthttp.Response) Report {
-	r := &request{Request: in, deadline: in.Deadline.Add(-answerMargin), endings: make(chan *attempt, maxOpen)}
+	r := &request{Request: in, deadline: in.Deadline.Add(-answerMargin), completed: make(chan *attempt, maxConcurrentAttempts)}
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	r.cancel = cancel
 	defer func() {
@@ -139,34 +140,34 @@
 			cancel()
 		}
 	}()
-	refusal := f.run(ctx, r, resp)
-	if refusal != nil {
-		r.report.Code, r.report.Detail = refusal.code, refusal.detail
-		refusal.write(r.ID, resp)
+	rejection := f.run(ctx, r, resp)
+	if rejection != nil {
+		r.report.Code, r.report.Detail = rejection.code, rejection.detail
+		rejection.write(r.ID, resp)
 	}
 	r.report.Status = resp.StatusCode()
 	for _, a := range r.attempts {
-		r.report.Attempts = append(r.report.Attempts, a.report())
+		r.report.Attempts = append(r.report.Attempts, a.logRecord())
 	}
 	return r.report
 }
 
-// run makes attempts until one is served or none is left to make.
-func (f *Forwarder) run(ctx context.Context, r *request, resp *fasthttp.Response) *refusal {
+// run makes attempts until one is served or no further attempt is allowed.
+func (f *Forwarder) run(ctx context.Context, r *request, resp *fasthttp.Response) *rejection {
 	for {
 		grant, err := f.acquire(ctx, r)
 		if err == nil {
-			f.launch(ctx, r, grant)
+			f.startAttempt(ctx, r, grant)
 		}
-		if r.open == 0 {
-			return r.giveUp(err, resp)
+		if r.running == 0 {
+			return r.finishUnserved(err, resp)
 		}
-		a := r.await(err == nil && r.mayHedge(), hedgeDelay(r, grant))
+		a := r.awaitAttempt(err == nil && r.mayHedge(), hedgeDelay(r, grant))
 		if a == nil {
-			continue // The attempt under way takes long: another is made beside it.
+			continue // The hedge delay has passed: start a second, concurrent attempt.
 		}
-		if done, refusal := r.take(a, resp); done {
-			return refusal
+		if done, rejection := r.handle(a, resp); done {
+			return rejection
 		}
 	}
 }
@@ -181,54 +182,55 @@
 		LargeResponse: r.Route.LargeResponses,
 		Idempotent:    r.Route.Idempotent,
 		Retry:         r.sent > 0,
-		Hedge:         r.open > 0,
+		Hedge:         r.running > 0,
 		Objective:     r.Arrived.Add(r.Route.Objective),
 		Deadline:      r.deadline,
 		Tried:         r.tried,
 	})
 }
 
-// launch sends the request to the granted endpoint. Its attempt comes to r.endings.
-func (f *Forwarder) launch(ctx context.Context, r *request, grant dispatch.Grant) {
+// startAttempt starts an attempt at the granted endpoint. It is sent to r.completed when it ends.
+func (f *Forwarder) startAttempt(ctx context.Context, r *request, grant dispatch.Grant) {
 	r.tried = append(r.tried, grant.Endpoint.ID)
 	r.sent++
-	r.open++
+	r.running++
 	req := fasthttp.AcquireRequest()
 	r.HTTP.CopyTo(req)
 	go func() {
 		defer fasthttp.ReleaseRequest(req)
-		a := f.attempt(ctx, r, req, grant)
-		r.endings <- a
+		a := f.runAttempt(ctx, r, req, grant)
+		r.completed <- a
 		if a.stream != nil {
-			f.finish(ctx, a)
+			f.finishStream(ctx, a)
 		}
 	}()
 }
 
-// attempt sends a copy of the request to the granted endpoint.
-func (f *Forwarder) attempt(ctx context.Context, r *request, req *fasthttp.Request, grant dispatch.Grant) *attempt {
+// runAttempt sends a copy of the request to the granted endpoint and records the result with the
+// dispatcher. For a streamed answer, finishStream records it.
+func (f *Forwarder) runAttempt(ctx context.Context, r *request, req *fasthttp.Request, grant dispatch.Grant) *attempt {
 	a := &attempt{grant: grant, started: time.Now()}
 	overdue := time.AfterFunc(grant.BaselineLatency*overdueFactor, func() { f.dispatcher.Overdue(grant) })
-	f.send(f.sendContext(ctx, r), r, req, a)
+	f.send(f.attemptContext(ctx, r), r, req, a)
 	overdue.Stop()
-	a.took = time.Since(a.started)
-	if a.ending == endedServed {
-		f.dispatcher.RecordResponseSize(r.Route.Name, a.size())
+	a.elapsed = time.Since(a.started)
+	if a.outcome == outcomeServed {
+		f.dispatcher.RecordResponseSize(r.Route.Name, a.bodySize())
 	}
 	if a.stream != nil {
 		return a
 	}
-	if a.ending == endedNotSent && ctx.Err() == nil {
+	if a.outcome == outcomeNotSent && ctx.Err() == nil {
 		f.dispatcher.SendFailed(grant)
 	} else {
-		f.dispatcher.Ended(grant, a.eventOf(), a.took)
+		f.dispatcher.Ended(grant, a.eventKind(), a.elapsed)
 	}
 	return a
 }
 
-// sendContext returns the context of one sending. A request that is not idempotent runs on
-// when its caller leaves: breaking it off would not undo it.
-func (f *Forwarder) sendContext(ctx context.Context, r *request) context.Context {
+// attemptContext returns the context of one attempt. A request that is not idempotent continues
+// after its caller disconnects: aborting it would not undo its effects.
+func (f *Forwarder) attemptContext(ctx context.Context, r *request) context.Context {
 	if r.Route.Idempotent {
 		return ctx
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -18,23 +18,23 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// scripted is an upstream endpoint that answers each request by the next line of a script.
-type scripted struct {
+// scriptedUpstream is an upstream endpoint that answers its nth request by calling script with n.
+type scriptedUpstream struct {
 	listener net.Listener
-	script   func(n int, req *fasthttp.Request, c net.Conn) bool // Returns whether the connection goes on.
+	script   func(n int, req *fasthttp.Request, c net.Conn) bool // Reports whether the connection stays open.
 	requests atomic.Int64
 	conns    atomic.Int64
 }
 
-func startUpstream(t *testing.T, script func(n int, req *fasthttp.Request, c net.Conn) bool) *scripted {
+func startUpstream(t *testing.T, script func(n int, req *fasthttp.Request, c net.Conn) bool) *scriptedUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{listener: l, script: script}
+	s := &scriptedUpstream{listener: l, script: script}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -49,7 +49,7 @@
 	return s
 }
 
-func (s *scripted) serve(c net.Conn) {
+func (s *scriptedUpstream) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
@@ -74,7 +74,7 @@
 	return answer(c, req, 200, "fine")
 }
 
-func refuseUnrun(_ int, req *fasthttp.Request, c net.Conn) bool {
+func rejectNotExecuted(_ int, req *fasthttp.Request, c net.Conn) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 503 X\r\nRequest-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", req.Header.Peek("Request-Id"))
 	return err == nil
 }
@@ -84,54 +84,54 @@
 	return false
 }
 
-// inTurn grants endpoints in the order of a list, each once for a request.
-type inTurn struct {
+// sequentialDispatcher grants each request the endpoints of a list in order, each at most once.
+type sequentialDispatcher struct {
 	list []dispatch.Endpoint
 
-	mu     sync.Mutex
-	events []dispatch.EventKind
-	open   int
+	mu      sync.Mutex
+	events  []dispatch.EventKind
+	running int
 }
 
-func dispatcherOf(upstreams ...string) *inTurn {
-	d := &inTurn{}
+func newSequentialDispatcher(upstreams ...string) *sequentialDispatcher {
+	d := &sequentialDispatcher{}
 	for i, addr := range upstreams {
 		d.list = append(d.list, dispatch.Endpoint{ID: dispatch.EndpointID(i + 1), Name: fmt.Sprint("i-", i+1), Address: addr, Slots: 4})
 	}
 	return d
 }
 
-func (d *inTurn) Acquire(a dispatch.Request) (dispatch.Grant, error) {
+func (d *sequentialDispatcher) Acquire(a dispatch.Request) (dispatch.Grant, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.list {
 		if !slices.Contains(a.Tried, e.ID) {
-			d.open++
+			d.running++
 			return dispatch.Grant{Endpoint: e, BaselineLatency: 20 * time.Millisecond}, nil
 		}
 	}
 	return dispatch.Grant{}, &Rejected{dispatch.Rejection{Reason: dispatch.NoEndpoint, RetryAfter: time.Second}}
 }
 
-func (d *inTurn) Ended(_ dispatch.Grant, kind dispatch.EventKind, _ time.Duration) {
+func (d *sequentialDispatcher) Ended(_ dispatch.Grant, kind dispatch.EventKind, _ time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.open--
+	d.running--
 	d.events = append(d.events, kind)
 }
 
-func (d *inTurn) SendFailed(dispatch.Grant) {
+func (d *sequentialDispatcher) SendFailed(dispatch.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.open--
+	d.running--
 }
 
-func (d *inTurn) Overdue(dispatch.Grant) {}
+func (d *sequentialDispatcher) Overdue(dispatch.Grant) {}
 
-func (d *inTurn) RecordResponseSize(string, int) {}
+func (d *sequentialDispatcher) RecordResponseSize(string, int) {}
 
-// closed returns an address on which nobody listens.
-func closed(t *testing.T) string {
+// unusedAddress returns an address that refuses connections.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -164,25 +164,25 @@
 	now := time.Now()
 	timeout := c.timeout
 	if timeout == 0 {
-		timeout = patience
+		timeout = testTimeout
 	}
 	var resp fasthttp.Response
 	report := f.Serve(t.Context(), Request{
 		ID: id, Service: "s", HTTP: &req, Arrived: now, Deadline: now.Add(timeout),
-		Route: platform.Route{Idempotent: c.idempotent, MaxAttempts: c.maxAttempts, Objective: patience},
+		Route: platform.Route{Idempotent: c.idempotent, MaxAttempts: c.maxAttempts, Objective: testTimeout},
 	}, &resp)
 	return &resp, report
 }
 
 var (
-	order  = call{maxAttempts: 3, method: "POST"}
-	lookup = call{idempotent: true, maxAttempts: 3, method: "POST"}
+	nonIdempotentCall = call{maxAttempts: 3, method: "POST"}
+	idempotentCall    = call{idempotent: true, maxAttempts: 3, method: "POST"}
 )
 
-func TestWhatMayBeSentAgain(t *testing.T) {
+func TestRetries(t *testing.T) {
 	ok := startUpstream(t, serveOK).listener.Addr().String()
-	failing := func(_ int, req *fasthttp.Request, c net.Conn) bool { return answer(c, req, 500, "own failure") }
-	cutOff := func(_ int, req *fasthttp.Request, c net.Conn) bool {
+	serverError := func(_ int, req *fasthttp.Request, c net.Conn) bool { return answer(c, req, 500, "server error") }
+	truncated := func(_ int, req *fasthttp.Request, c net.Conn) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nRequest-Id: %s\r\nServer-Stamp: 3e\r\nContent-Length: 100\r\n\r\npart", req.Header.Peek("Request-Id"))
 		return false
 	}
@@ -194,7 +194,7 @@
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 X\r\nRequest-Id: %s\r\nServer-Stamp: 3e\r\nContent-Encoding: gzip\r\nContent-Length: 4\r\n\r\nfine", req.Header.Peek("Request-Id"))
 		return err == nil
 	}
-	garbage := func(_ int, _ *fasthttp.Request, c net.Conn) bool {
+	notHTTP := func(_ int, _ *fasthttp.Request, c net.Conn) bool {
 		_, _ = c.Write([]byte("\x00\x01 not an answer\r\n\r\n"))
 		return false
 	}
@@ -203,67 +203,67 @@
 		return err == nil
 	}
 	for name, tc := range map[string]struct {
-		first          func(int, *fasthttp.Request, net.Conn) bool // Nil: nobody listens.
-		orderStatus    int
-		orderCode      result.Code
-		lookupAttempts int
+		first        func(int, *fasthttp.Request, net.Conn) bool // Nil: connection refused.
+		wantStatus   int
+		wantCode     result.Code
+		wantAttempts int
 	}{
-		"nobody listens":     {nil, 200, result.CodeAnswered, 2},
-		"refused unrun":      {refuseUnrun, 200, result.CodeAnswered, 2},
-		"another upstream":   {misdirected, 200, result.CodeAnswered, 2},
-		"its own failure":    {failing, 500, result.CodeAnswered, 2},
-		"reset":              {reset, 502, result.CodeAnswerCutOff, 2},
-		"cut off":            {cutOff, 502, result.CodeAnswerCutOff, 2},
+		"connection refused": {nil, 200, result.CodeAnswered, 2},
+		"not executed":       {rejectNotExecuted, 200, result.CodeAnswered, 2},
+		"misdirected":        {misdirected, 200, result.CodeAnswered, 2},
+		"server error":       {serverError, 500, result.CodeAnswered, 2},
+		"connection reset":   {reset, 502, result.CodeAnswerCutOff, 2},
+		"truncated":          {truncated, 502, result.CodeAnswerCutOff, 2},
 		"unsigned":           {unsigned, 502, result.CodeAnswerCutOff, 2},
 		"encoded":            {encoded, 502, result.CodeAnswerCutOff, 2},
-		"bytes of no answer": {garbage, 502, result.CodeAnswerCutOff, 2},
+		"not HTTP":           {notHTTP, 502, result.CodeAnswerCutOff, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := closed(t)
+			addr := unusedAddress(t)
 			if tc.first != nil {
 				addr = startUpstream(t, tc.first).listener.Addr().String()
 			}
-			resp, report := order.serve(t, New(dispatcherOf(addr, ok)), "order")
-			if resp.StatusCode() != tc.orderStatus || report.Code != tc.orderCode {
-				t.Errorf("order: status %d, %+v", resp.StatusCode(), report)
+			resp, report := nonIdempotentCall.serve(t, New(newSequentialDispatcher(addr, ok)), "a")
+			if resp.StatusCode() != tc.wantStatus || report.Code != tc.wantCode {
+				t.Errorf("non-idempotent: status %d, %+v", resp.StatusCode(), report)
 			}
-			resp, report = lookup.serve(t, New(dispatcherOf(addr, ok)), "lookup")
-			if resp.StatusCode() != 200 || len(report.Attempts) != tc.lookupAttempts {
-				t.Errorf("lookup: status %d, %+v", resp.StatusCode(), report)
+			resp, report = idempotentCall.serve(t, New(newSequentialDispatcher(addr, ok)), "b")
+			if resp.StatusCode() != 200 || len(report.Attempts) != tc.wantAttempts {
+				t.Errorf("idempotent: status %d, %+v", resp.StatusCode(), report)
 			}
 		})
 	}
 }
 
-func TestRefusalsThatSayNotRunAreTrue(t *testing.T) {
-	refusing := startUpstream(t, refuseUnrun)
-	addr := refusing.listener.Addr().String()
-	resp, report := order.serve(t, New(dispatcherOf(addr, closed(t))), "a")
+func TestNotRunRequiresProof(t *testing.T) {
+	rejecting := startUpstream(t, rejectNotExecuted)
+	addr := rejecting.listener.Addr().String()
+	resp, report := nonIdempotentCall.serve(t, New(newSequentialDispatcher(addr, unusedAddress(t))), "a")
 	if resp.StatusCode() != 503 || len(resp.Header.Peek("Retry-After")) == 0 {
-		t.Errorf("refused everywhere: status %d, %+v", resp.StatusCode(), report)
+		t.Errorf("rejected by all endpoints: status %d, %+v", resp.StatusCode(), report)
 	}
 	broken := startUpstream(t, reset)
-	resp, report = lookup.serve(t, New(dispatcherOf(broken.listener.Addr().String(), addr)), "b")
+	resp, report = idempotentCall.serve(t, New(newSequentialDispatcher(broken.listener.Addr().String(), addr)), "b")
 	if resp.StatusCode() != 502 {
-		t.Errorf("one may have run, one refused: status %d, %+v", resp.StatusCode(), report)
+		t.Errorf("one may have run, one rejected: status %d, %+v", resp.StatusCode(), report)
 	}
 }
 
-func TestAttemptsStayWithinTheRoutesBound(t *testing.T) {
-	d := dispatcherOf()
-	var all []*scripted
+func TestMaxAttempts(t *testing.T) {
+	d := newSequentialDispatcher()
+	var all []*scriptedUpstream
 	for i := range 5 {
-		u := startUpstream(t, refuseUnrun)
+		u := startUpstream(t, rejectNotExecuted)
 		all = append(all, u)
 		d.list = append(d.list, dispatch.Endpoint{ID: dispatch.EndpointID(i + 1), Name: fmt.Sprint(i), Address: u.listener.Addr().String(), Slots: 1})
 	}
-	resp, _ := order.serve(t, New(d), "a")
+	resp, _ := nonIdempotentCall.serve(t, New(d), "a")
 	sent := int64(0)
 	for _, u := range all {
 		sent += u.requests.Load()
 	}
-	if sent != int64(order.maxAttempts) || resp.StatusCode() != 503 {
-		t.Errorf("sent %d times, bound %d; status %d", sent, order.maxAttempts, resp.StatusCode())
+	if sent != int64(nonIdempotentCall.maxAttempts) || resp.StatusCode() != 503 {
+		t.Errorf("sent %d times, bound %d; status %d", sent, nonIdempotentCall.maxAttempts, resp.StatusCode())
 	}
 }
 
@@ -273,7 +273,7 @@
 		req.CopyTo(&got)
 		return answer(c, req, 200, "")
 	})
-	order.serve(t, New(dispatcherOf(u.listener.Addr().String())), "9c41")
+	nonIdempotentCall.serve(t, New(newSequentialDispatcher(u.listener.Addr().String())), "9c41")
 	h := &got.Header
 	if string(h.RequestURI()) != "/a%2Fb/../c?d=%20" || string(h.Host()) != "h.example" || string(got.Body()) != "body" || string(h.Peek("Request-Id")) != "9c41" {
 		t.Errorf("got %s%s", h, got.Body())
@@ -283,36 +283,37 @@
 	}
 }
 
-// An answer of a former request may arrive where the next is expected.
-func TestAnswersOfOtherRequestsAreSkipped(t *testing.T) {
+// A late answer to an earlier request may arrive on the connection on which the next one waits.
+func TestMismatchedAnswerIsSkipped(t *testing.T) {
 	u := startUpstream(t, func(n int, req *fasthttp.Request, c net.Conn) bool {
 		if n == 2 {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nRequest-Id: first\r\nServer-Stamp: 3e\r\nContent-Length: 5\r\n\r\nstale")
 		}
 		return answer(c, req, 200, "fine")
 	})
-	f := New(dispatcherOf(u.listener.Addr().String()))
-	order.serve(t, f, "first")
-	resp, report := order.serve(t, f, "second")
+	f := New(newSequentialDispatcher(u.listener.Addr().String()))
+	nonIdempotentCall.serve(t, f, "first")
+	resp, report := nonIdempotentCall.serve(t, f, "second")
 	if string(resp.Body()) != "fine" || !report.Attempts[0].Reused {
 		t.Errorf("got %q, %+v", resp.Body(), report)
 	}
 }
 
-// A second answer that is there before the next request shows while the connection is idle.
-func TestAConnectionWithStrayBytesIsNotUsedAgain(t *testing.T) {
+// A second answer to one request arrives while the connection is idle. It must not be taken for the
+// answer to the next request.
+func TestConnectionWithUnsolicitedDataIsNotReused(t *testing.T) {
 	u := startUpstream(t, func(_ int, req *fasthttp.Request, c net.Conn) bool {
 		return answer(c, req, 200, "fine") && answer(c, req, 200, "extra")
 	})
-	f := New(dispatcherOf(u.listener.Addr().String()))
+	f := New(newSequentialDispatcher(u.listener.Addr().String()))
 	for i := range 3 {
-		if resp, report := order.serve(t, f, fmt.Sprint("r", i)); string(resp.Body()) != "fine" {
+		if resp, report := nonIdempotentCall.serve(t, f, fmt.Sprint("r", i)); string(resp.Body()) != "fine" {
 			t.Errorf("request %d: %q, %+v", i, resp.Body(), report)
 		}
 	}
 }
 
-func TestAnAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
+func TestAnswerDelimitedByClose(t *testing.T) {
 	write := func(req *fasthttp.Request, c net.Conn) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nRequest-Id: %s\r\nServer-Stamp: 3e\r\nConnection: close\r\n\r\nwhole", req.Header.Peek("Request-Id"))
 	}
@@ -320,50 +321,51 @@
 		write(req, c)
 		return false
 	})
-	if resp, report := order.serve(t, New(dispatcherOf(u.listener.Addr().String())), "a"); string(resp.Body()) != "whole" {
-		t.Errorf("closed in order: %q, %+v", resp.Body(), report)
+	if resp, report := nonIdempotentCall.serve(t, New(newSequentialDispatcher(u.listener.Addr().String())), "a"); string(resp.Body()) != "whole" {
+		t.Errorf("closed after the body: %q, %+v", resp.Body(), report)
 	}
 	u = startUpstream(t, func(_ int, req *fasthttp.Request, c net.Conn) bool {
 		write(req, c)
 		time.Sleep(50 * time.Millisecond)
 		return reset(0, req, c)
 	})
-	if resp, report := order.serve(t, New(dispatcherOf(u.listener.Addr().String())), "b"); resp.StatusCode() != 502 {
-		t.Errorf("reset on the way: status %d, %+v", resp.StatusCode(), report)
+	if resp, report := nonIdempotentCall.serve(t, New(newSequentialDispatcher(u.listener.Addr().String())), "b"); resp.StatusCode() != 502 {
+		t.Errorf("reset after the body: status %d, %+v", resp.StatusCode(), report)
 	}
 }
 
-func TestSilenceEndsWithTheRoutesTimeout(t *testing.T) {
+func TestTimeout(t *testing.T) {
 	u := startUpstream(t, func(_ int, _ *fasthttp.Request, c net.Conn) bool {
-		time.Sleep(patience)
+		time.Sleep(testTimeout)
 		return false
 	})
-	silent := order
+	silent := nonIdempotentCall
 	silent.timeout = 200 * time.Millisecond
-	resp, report := silent.serve(t, New(dispatcherOf(u.listener.Addr().String(), startUpstream(t, serveOK).listener.Addr().String())), "a")
+	resp, report := silent.serve(t, New(newSequentialDispatcher(u.listener.Addr().String(), startUpstream(t, serveOK).listener.Addr().String())), "a")
 	if resp.StatusCode() != 504 || report.Code != result.CodeAnswerTimedOut || u.requests.Load() != 1 {
 		t.Errorf("status %d, %+v", resp.StatusCode(), report)
 	}
 }
 
-// The load that hedging answers: an endpoint takes lookups and does not answer them.
-func TestALookupThatTakesLongIsAlsoSentElsewhere(t *testing.T) {
+// An endpoint that accepts idempotent requests and never answers is hedged around. A request that is
+// not idempotent is never hedged.
+func TestSlowIdempotentRequestIsHedged(t *testing.T) {
 	hanging := startUpstream(t, func(_ int, _ *fasthttp.Request, c net.Conn) bool {
-		time.Sleep(patience)
+		time.Sleep(testTimeout)
 		return false
 	})
-	d := dispatcherOf(hanging.listener.Addr().String(), startUpstream(t, serveOK).listener.Addr().String())
-	resp, report := lookup.serve(t, New(d), "a")
+	d := newSequentialDispatcher(hanging.listener.Addr().String(), startUpstream(t, serveOK).listener.Addr().String())
+	resp, report := idempotentCall.serve(t, New(d), "a")
 	if resp.StatusCode() != 200 || string(resp.Body()) != "fine" {
 		t.Errorf("status %d, %+v", resp.StatusCode(), report)
 	}
 	resp, _ = call{maxAttempts: 3, method: "POST", timeout: 300 * time.Millisecond}.serve(t, New(d), "b")
 	if resp.StatusCode() != 504 {
-		t.Errorf("an order that takes long: status %d", resp.StatusCode())
+		t.Errorf("slow non-idempotent request: status %d", resp.StatusCode())
 	}
 }
 
-func TestCallersLeavingEndsALookupAndNotAnOrder(t *testing.T) {
+func TestCallerDisconnectCancelsOnlyIdempotentRequest(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		ended := make(chan bool, 1)
 		started := make(chan struct{}, 1)
@@ -375,7 +377,7 @@
 			ended <- ok && timeout.Timeout()
 			return answer(c, req, 200, "fine")
 		})
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		var req fasthttp.Request
 		req.Header.SetHost("h")
 		req.Header.Set("Request-Id", "a")
@@ -383,15 +385,15 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			New(dispatcherOf(u.listener.Addr().String())).Serve(ctx, Request{
-				ID: "a", HTTP: &req, Arrived: now, Deadline: now.Add(patience),
-				Route: platform.Route{Idempotent: idempotent, MaxAttempts: 1, Objective: patience},
+			New(newSequentialDispatcher(u.listener.Addr().String())).Serve(ctx, Request{
+				ID: "a", HTTP: &req, Arrived: now, Deadline: now.Add(testTimeout),
+				Route: platform.Route{Idempotent: idempotent, MaxAttempts: 1, Objective: testTimeout},
 			}, &fasthttp.Response{})
 		}()
 		<-started
-		leave()
-		if ranOn := <-ended; ranOn == idempotent {
-			t.Errorf("idempotent %v: the upstream's connection stayed open %v", idempotent, ranOn)
+		disconnect()
+		if stayedOpen := <-ended; stayedOpen == idempotent {
+			t.Errorf("idempotent %v: upstream connection stayed open %v", idempotent, stayedOpen)
 		}
 		<-done
 	}
@@ -399,12 +401,12 @@
 
 func TestIdleTime(t *testing.T) {
 	for header, want := range map[string]time.Duration{
-		"":                   idleDefault,
+		"":                   defaultIdleTime,
 		"timeout=10":         9 * time.Second,
 		"max=5, timeout=2":   time.Second,
 		"timeout=0":          0,
-		"timeout=-1":         idleDefault,
-		"timeout=9999999999": idleDefault,
+		"timeout=-1":         defaultIdleTime,
+		"timeout=9999999999": defaultIdleTime,
 	} {
 		if got := idleTime(header); got != want {
 			t.Errorf("%q: %s, want %s", header, got, want)
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -14,32 +14,34 @@
 )
 
 const (
-	// dialTimeout is a hundred times the way between zones; a longer wait means a dark
-	// endpoint or a lost packet, and nothing was sent yet.
+	// dialTimeout is a hundred times the latency between zones. A longer wait means an unreachable
+	// endpoint or a lost packet, and nothing has been sent yet.
 	dialTimeout = 300 * time.Millisecond
-	// unackedTimeout is over the longest deadline of callers: a request under way ends with its
-	// own deadline, not with a cut of the network that may heal before.
+	// unackedTimeout is longer than the longest deadline of callers: a running request ends at its
+	// own deadline, not because of a network partition that may heal before it.
 	unackedTimeout = 30 * time.Second
-	// idleMargin is kept to the idle time that an endpoint announces.
+	// idleMargin is subtracted from the idle timeout that an endpoint announces.
 	idleMargin = time.Second
-	// idleDefault is the idle time of an endpoint that announces none.
-	idleDefault = 4 * time.Second
-	// maxIdlePerEndpoint bounds the idle connections to one endpoint, of which each instance has its part.
+	// defaultIdleTime is assumed for an endpoint that announces no idle timeout.
+	defaultIdleTime = 4 * time.Second
+	// maxIdlePerEndpoint bounds this instance's idle connections to one endpoint; the other
+	// instances hold connections to it as well.
 	maxIdlePerEndpoint = 4
 )
 
-// target is where a connection leads. Another endpoint may take over an address.
+// target identifies the other side of a connection. The address alone is not enough: another
+// endpoint may take it over.
 type target struct {
 	id   dispatch.EndpointID
 	addr string
 }
 
 type idleConn struct {
-	conn  *httpconn.Conn
-	until time.Time // The endpoint may close it after.
+	conn    *httpconn.Conn
+	expires time.Time // When the endpoint may close it.
 }
 
-// pool keeps idle connections to endpoints. It is safe for concurrent use.
+// pool holds idle connections to endpoints. It is safe for concurrent use.
 type pool struct {
 	mu   sync.Mutex
 	idle map[target][]idleConn
@@ -49,8 +51,8 @@
 	return &pool{idle: make(map[target][]idleConn)}
 }
 
-// take returns an idle connection that is fit for a request, or nil.
-func (p *pool) take(t target, now time.Time) *httpconn.Conn {
+// get returns an idle connection that is usable for a request, or nil.
+func (p *pool) get(t target, now time.Time) *httpconn.Conn {
 	for {
 		p.mu.Lock()
 		list := p.idle[t]
@@ -62,37 +64,37 @@
 		last := list[len(list)-1]
 		p.idle[t] = list[:len(list)-1]
 		p.mu.Unlock()
-		if now.Before(last.until) && last.conn.CheckIdle() == nil {
+		if now.Before(last.expires) && last.conn.CheckIdle() == nil {
 			return last.conn
 		}
 		_ = last.conn.Close()
 	}
 }
 
-// put keeps a connection after an answer, where both sides will go on with it.
+// put returns a connection to the pool after an answer, or closes it if it cannot be reused.
 func (p *pool) put(t target, conn *httpconn.Conn, resp *fasthttp.Response, now time.Time) {
 	if resp.ConnectionClose() || !conn.FullyRead() || conn.SetKeepAlive(true) != nil {
 		_ = conn.Close()
 		return
 	}
-	until := now.Add(idleTime(string(resp.Header.Peek("Keep-Alive"))))
+	expires := now.Add(idleTime(string(resp.Header.Peek("Keep-Alive"))))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[t]) >= maxIdlePerEndpoint {
 		_ = conn.Close()
 		return
 	}
-	p.idle[t] = append(p.idle[t], idleConn{conn: conn, until: until})
+	p.idle[t] = append(p.idle[t], idleConn{conn: conn, expires: expires})
 }
 
-// sweep closes connections that have outlived their idle time.
-func (p *pool) sweep(now time.Time) {
+// closeExpired closes connections that are past their idle timeout.
+func (p *pool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for t, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.expires) {
 				kept = append(kept, c)
 			} else {
 				_ = c.conn.Close()
@@ -106,8 +108,8 @@
 	}
 }
 
-// clear closes all connections.
-func (p *pool) clear() {
+// closeAll closes all idle connections.
+func (p *pool) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, list := range p.idle {
@@ -118,7 +120,8 @@
 	clear(p.idle)
 }
 
-// idleTime returns how long a connection may stay idle, from a Keep-Alive header.
+// idleTime returns how long a connection may stay idle, from a Keep-Alive header's timeout
+// parameter in seconds.
 func idleTime(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -129,5 +132,5 @@
 			return max(time.Duration(seconds)*time.Second-idleMargin, 0)
 		}
 	}
-	return idleDefault
+	return defaultIdleTime
 }
--- a/internal/forward/refusal.go
+++ b/internal/forward/rejection.go
@@ -10,24 +10,25 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// refusal is an answer of the fleet's own.
-type refusal struct {
+// rejection is an answer that the fleet generates itself.
+type rejection struct {
 	code       result.Code
 	detail     string
-	retryAfter time.Duration // 0 for none.
+	retryAfter time.Duration // 0: no Retry-After header.
 }
 
-type refusalBody struct {
+type rejectionBody struct {
 	Code   result.Code `json:"code"`
 	Name   string      `json:"name"`
 	Detail string      `json:"detail,omitempty"`
 }
 
-func (r *refusal) write(requestID string, resp *fasthttp.Response) {
+func (r *rejection) write(requestID string, resp *fasthttp.Response) {
 	Reject(resp, requestID, r.code, r.detail, r.retryAfter)
 }
 
-// Reject fills in an answer of the fleet's own. retryAfter is 0 for none.
+// Reject fills in an answer that the fleet generates itself, with a JSON body. No Retry-After
+// header is set if retryAfter is 0.
 func Reject(resp *fasthttp.Response, requestID string, code result.Code, detail string, retryAfter time.Duration) {
 	resp.Reset()
 	entry, ok := result.Lookup(code)
@@ -37,9 +38,9 @@
 	resp.SetStatusCode(entry.Status)
 	resp.Header.SetContentType("application/json")
 	platform.SetRejectionHeaders(&resp.Header, requestID, retryAfter)
-	body, err := json.Marshal(refusalBody{Code: code, Name: entry.Name, Detail: detail})
+	body, err := json.Marshal(rejectionBody{Code: code, Name: entry.Name, Detail: detail})
 	if err != nil {
-		body = []byte("{}") // Strings and a number always encode.
+		body = []byte("{}") // Not reached: strings and a number always encode.
 	}
 	resp.SetBody(body)
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -11,91 +11,91 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-// await returns the next attempt that ends, or nil when it is time for another beside it.
-func (r *request) await(hedge bool, delay time.Duration) *attempt {
+// awaitAttempt returns the next attempt that completes, or nil once it is time for a hedge.
+func (r *request) awaitAttempt(hedge bool, delay time.Duration) *attempt {
 	if !hedge {
-		return <-r.endings
+		return <-r.completed
 	}
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
-	case a := <-r.endings:
+	case a := <-r.completed:
 		return a
 	case <-timer.C:
 		return nil
 	}
 }
 
-// take takes in the end of an attempt, and of those beside it where they may still be
-// served, and tells whether the request has its answer.
-func (r *request) take(a *attempt, resp *fasthttp.Response) (done bool, _ *refusal) {
+// handle records a completed attempt and reports whether the request is done. If the attempt
+// allows no retry but another one is running, it waits for that one.
+func (r *request) handle(a *attempt, resp *fasthttp.Response) (done bool, _ *rejection) {
 	for {
-		r.open--
+		r.running--
 		r.attempts = append(r.attempts, a)
-		switch a.ending {
-		case endedServed:
+		switch a.outcome {
+		case outcomeServed:
 			r.deliver(a, resp)
 			return true, nil
-		case endedFailed:
-			r.keepFailure(a)
-		case endedNotSent:
+		case outcomeFailed:
+			r.recordFailure(a)
+		case outcomeNotSent:
 			r.sent--
 		}
-		if r.mayRepeat(a) {
+		if r.mayRetry(a) {
 			return false, nil
 		}
-		if r.open == 0 {
-			return true, r.giveUp(nil, resp)
+		if r.running == 0 {
+			return true, r.finishUnserved(nil, resp)
 		}
-		a = <-r.endings
+		a = <-r.completed
 	}
 }
 
 const (
-	// hedgeFactor is the multiple of an endpoint's usual time after which an idempotent request
-	// is also sent elsewhere: two or three in a hundred take longer.
+	// hedgeFactor is the multiple of an endpoint's baseline latency after which an idempotent
+	// request is hedged at another endpoint: two or three requests in a hundred take longer.
 	hedgeFactor = 2.5
-	// hedgeFloor is the least multiple, where the objective is near.
-	hedgeFloor = 1.5
+	// minHedgeFactor is the smallest multiple, used when the latency objective is close.
+	minHedgeFactor = 1.5
 )
 
-// hedgeDelay returns how long an attempt may take before another is made beside it: so
-// that the other can still meet the objective, where that leaves the first a fair time.
+// hedgeDelay returns how long to wait for an attempt before a hedge starts: early enough that the
+// hedge can still meet the route's objective, but at least minHedgeFactor baselines.
 func hedgeDelay(r *request, grant dispatch.Grant) time.Duration {
-	usual := float64(grant.BaselineLatency)
+	baseline := float64(grant.BaselineLatency)
 	untilObjective := float64(time.Until(r.Arrived.Add(r.Route.Objective)) - grant.BaselineLatency)
-	return time.Duration(max(min(hedgeFactor*usual, untilObjective), hedgeFloor*usual))
+	return time.Duration(max(min(hedgeFactor*baseline, untilObjective), minHedgeFactor*baseline))
 }
 
-// mayHedge tells whether another attempt may be made beside the ones under way.
+// mayHedge reports whether a second, concurrent attempt is allowed.
 func (r *request) mayHedge() bool {
-	return r.Route.Idempotent && r.open == 1 && r.sent < r.Route.MaxAttempts
+	return r.Route.Idempotent && r.running == 1 && r.sent < r.Route.MaxAttempts
 }
 
-// mayRepeat tells whether a request may be sent again after an attempt.
-func (r *request) mayRepeat(a *attempt) bool {
+// mayRetry reports whether a request may be sent again after an attempt.
+func (r *request) mayRetry(a *attempt) bool {
 	if r.sent >= r.Route.MaxAttempts || !time.Now().Before(r.deadline) {
 		return false
 	}
-	switch a.ending {
-	case endedNotSent, endedNotRun:
+	switch a.outcome {
+	case outcomeNotSent, outcomeNotRun:
 		return true
-	case endedFailed, endedBroken:
+	case outcomeFailed, outcomeIncomplete:
 		return r.Route.Idempotent
 	default:
 		return false
 	}
 }
 
-// keepFailure keeps an endpoint's own failure; the caller gets it when nothing better comes.
-func (r *request) keepFailure(a *attempt) {
+// recordFailure keeps an endpoint's server error, which is delivered if no other attempt is served.
+func (r *request) recordFailure(a *attempt) {
 	if r.failure != nil && r.failure.stream == nil {
 		fasthttp.ReleaseResponse(r.failure.resp)
 	}
 	r.failure = a
 }
 
-// deliver copies an endpoint's answer, without what concerns its connection.
+// deliver copies an endpoint's answer without its hop-by-hop headers.
 func (r *request) deliver(a *attempt, resp *fasthttp.Response) {
 	if a.stream != nil {
 		r.deliverStream(a, resp)
@@ -111,40 +111,41 @@
 	r.report.Code = result.CodeAnswered
 }
 
-// giveUp ends a request that was not served: with an endpoint's own failure where there is
-// one, else with a refusal.
-func (r *request) giveUp(cause error, resp *fasthttp.Response) *refusal {
+// finishUnserved ends a request that was not served: with an endpoint's server error if there is
+// one, otherwise with a rejection.
+func (r *request) finishUnserved(cause error, resp *fasthttp.Response) *rejection {
 	if r.failure != nil {
 		r.deliver(r.failure, resp)
 		return nil
 	}
-	return r.refusalFor(cause)
+	return r.rejectionFor(cause)
 }
 
-// refusalFor returns the refusal that is true of the attempts made.
-func (r *request) refusalFor(cause error) *refusal {
+// rejectionFor returns the rejection whose code is true of all attempts made: not-run codes only
+// if no attempt may have run.
+func (r *request) rejectionFor(cause error) *rejection {
 	for _, a := range r.attempts {
-		switch a.ending {
-		case endedBroken:
-			return &refusal{code: result.CodeAnswerCutOff, detail: a.err.Error()}
-		case endedTimedOut, endedLeft:
-			return &refusal{code: result.CodeAnswerTimedOut}
+		switch a.outcome {
+		case outcomeIncomplete:
+			return &rejection{code: result.CodeAnswerCutOff, detail: a.err.Error()}
+		case outcomeTimedOut, outcomeCallerLeft:
+			return &rejection{code: result.CodeAnswerTimedOut}
 		}
 	}
 	var rejected *Rejected
 	switch {
 	case errors.As(cause, &rejected) && rejected.Reason == dispatch.NoEndpoint:
-		return &refusal{code: result.CodeNoEndpoint, retryAfter: rejected.RetryAfter}
+		return &rejection{code: result.CodeNoEndpoint, retryAfter: rejected.RetryAfter}
 	case errors.As(cause, &rejected) && rejected.Reason == dispatch.Overloaded:
 		detail := fmt.Sprintf("an answer is expected in %s, %s are left", rejected.ExpectedLatency, rejected.TimeLeft)
-		return &refusal{code: result.CodeShedQueueFull, detail: detail, retryAfter: rejected.RetryAfter}
+		return &rejection{code: result.CodeShedQueueFull, detail: detail, retryAfter: rejected.RetryAfter}
 	case len(r.attempts) > 0:
-		return &refusal{code: result.CodeUpstreamRefused, retryAfter: refusedRetryAfter}
+		return &rejection{code: result.CodeUpstreamRefused, retryAfter: rejectedRetryAfter}
 	default:
-		return &refusal{code: result.CodeShedDeadline, retryAfter: refusedRetryAfter}
+		return &rejection{code: result.CodeShedDeadline, retryAfter: rejectedRetryAfter}
 	}
 }
 
-// refusedRetryAfter is when a caller may come back whose request no endpoint took: about
-// the time of one request.
-const refusedRetryAfter = 300 * time.Millisecond
+// rejectedRetryAfter is the Retry-After of a request that no endpoint accepted: about the
+// duration of one request.
+const rejectedRetryAfter = 300 * time.Millisecond
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -14,41 +14,42 @@
 	"github.com/damaskcove/damaskcove/internal/httpconn"
 )
 
-// An answer is gathered whole where it is small enough: one that breaks off can then be
-// asked for again, or refused. A larger one is passed on while it comes; if it breaks off,
-// the caller's connection is closed before the end that was announced.
+// A small answer is buffered completely, so that if it is truncated the request can be retried or
+// rejected. A larger one is streamed to the caller; if it is truncated, the caller's connection is
+// closed before the announced end.
 const (
-	// gatherMost is the most that is gathered of one answer, in bytes.
-	gatherMost = 256 << 10
-	// gatherLeast is gathered however much is in service.
-	gatherLeast = 8 << 10
-	// gatherTotal is what all answers in service may hold, in bytes; an instance has under 200 MB.
-	gatherTotal = 24 << 20
+	// maxBuffered bounds the bytes buffered of one answer.
+	maxBuffered = 256 << 10
+	// minBuffered bytes are buffered of an answer whatever the number of requests in service.
+	minBuffered = 8 << 10
+	// totalBuffered bounds the bytes buffered of all answers in service; an instance has less than
+	// 200 MB of memory.
+	totalBuffered = 24 << 20
 )
 
-// SetInServiceCount tells how many requests are in service until their answers are written, by which
-// the memory for answers is shared out. Call it before the first Serve.
+// SetInServiceCount sets the function that returns the number of requests whose answers are not yet
+// written. totalBuffered is divided among them. Call it before the first Serve.
 func (f *Forwarder) SetInServiceCount(inService func() int64) {
 	f.inService = inService
 }
 
-// gatherBytes returns how much of an answer is gathered.
-func (f *Forwarder) gatherBytes() int {
+// bufferLimit returns how many bytes of an answer to buffer.
+func (f *Forwarder) bufferLimit() int {
 	if f.inService == nil {
-		return gatherMost
+		return maxBuffered
 	}
-	share := gatherTotal / max(f.inService(), 1)
-	return int(min(max(share, gatherLeast), gatherMost))
+	share := totalBuffered / max(f.inService(), 1)
+	return int(min(max(share, minBuffered), maxBuffered))
 }
 
-// stream is an answer's body that is passed on while it comes.
+// stream is the body of an answer that is sent to the caller as it arrives.
 type stream struct {
-	body    *httpconn.Body
-	cancel  context.CancelFunc // Of the request.
-	closing sync.Once
-	closed  chan struct{}
-	whole   atomic.Bool
-	broken  atomic.Bool // The endpoint broke off.
+	body      *httpconn.Body
+	cancel    context.CancelFunc // Cancels the request's context.
+	closeOnce sync.Once
+	closed    chan struct{}
+	complete  atomic.Bool
+	truncated atomic.Bool // The endpoint ended the body early.
 }
 
 // Read implements io.Reader for the goroutine that writes the answer.
@@ -56,54 +57,55 @@
 	n, err := s.body.Read(p)
 	switch {
 	case errors.Is(err, io.EOF):
-		s.whole.Store(true)
+		s.complete.Store(true)
 	case err != nil:
-		s.broken.Store(true)
+		s.truncated.Store(true)
 	}
 	return n, err
 }
 
-// Close implements io.Closer: the answer was written, or cannot be.
+// Close implements io.Closer. It is called once the answer is written or writing it has failed.
 func (s *stream) Close() error {
-	s.closing.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.closed)
 		s.cancel()
 	})
 	return nil
 }
 
-// finish waits until an answer was passed on, and tells how its attempt ended. ctx ends with
-// the request; an answer that nobody takes ends with it.
-func (f *Forwarder) finish(ctx context.Context, a *attempt) {
+// finishStream waits until a streamed answer is written, or until ctx, the request's context, ends,
+// and records the result with the dispatcher. An answer that is not delivered ends with ctx.
+func (f *Forwarder) finishStream(ctx context.Context, a *attempt) {
 	select {
 	case <-a.stream.closed:
 	case <-ctx.Done():
 	}
-	whole := a.stream.whole.Load()
-	a.release(whole)
-	kind := dispatch.EndedUnknown // The caller left, or another attempt was faster.
+	complete := a.stream.complete.Load()
+	a.release(complete)
+	kind := dispatch.EndedUnknown // The caller disconnected, or another attempt was served first.
 	switch {
-	case whole:
+	case complete:
 		kind = dispatch.EndedServed
-	case a.stream.broken.Load():
+	case a.stream.truncated.Load():
 		kind = dispatch.EndedBroken
 		f.metrics.brokenStreams.Add(1)
 	}
 	f.dispatcher.Ended(a.grant, kind, time.Since(a.started))
 }
 
-var errNoLength = errors.New("the answer is large, has no length, and its caller cannot be told of its end")
+// An HTTP/1.0 caller cannot tell a truncated body from a complete one if the length is unknown.
+var errUnknownLength = errors.New("the answer is large, has no length, and its caller cannot be told of its end")
 
-// passOn makes the rest of an answer ready to be passed on.
-func (r *request) passOn(a *attempt, body *httpconn.Body) error {
+// startStream sets up streaming of the rest of an answer.
+func (r *request) startStream(a *attempt, body *httpconn.Body) error {
 	if body.Size() < 0 && !r.HTTP.Header.IsHTTP11() {
-		return errNoLength
+		return errUnknownLength
 	}
 	a.stream = &stream{body: body, cancel: r.cancel, closed: make(chan struct{})}
 	return nil
 }
 
-// deliverStream fills in an answer whose body is still coming.
+// deliverStream fills in an answer whose body is streamed.
 func (r *request) deliverStream(a *attempt, resp *fasthttp.Response) {
 	a.resp.Header.CopyTo(&resp.Header)
 	resp.SetBodyStream(a.stream, a.stream.body.Size())
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -17,13 +17,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// large is the body of an answer that is passed on while it comes.
-var large = bytes.Repeat([]byte("0123456789abcdef"), 4*gatherMost/16)
+// largeBody is the body of an answer that is too large to buffer and is streamed.
+var largeBody = bytes.Repeat([]byte("0123456789abcdef"), 4*maxBuffered/16)
 
-// framings are the ways in which a large answer may be sent.
+// framings are the ways to delimit a large answer. Each writes the head and the given part of the
+// body; end adds the end marker of a chunked body.
 var framings = map[string]func(w io.Writer, id string, body []byte, end bool){
 	"length": func(w io.Writer, id string, body []byte, _ bool) {
-		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 X\r\nRequest-Id: %s\r\nServer-Stamp: 3e\r\nContent-Length: %d\r\n\r\n", id, len(large))
+		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 X\r\nRequest-Id: %s\r\nServer-Stamp: 3e\r\nContent-Length: %d\r\n\r\n", id, len(largeBody))
 		_, _ = w.Write(body)
 	},
 	"chunks": func(w io.Writer, id string, body []byte, end bool) {
@@ -43,7 +44,7 @@
 	},
 }
 
-// write writes an answer as the caller gets it.
+// write returns the bytes of an answer that the caller receives.
 func write(resp *fasthttp.Response) ([]byte, error) {
 	var wire bytes.Buffer
 	w := bufio.NewWriter(&wire)
@@ -54,31 +55,31 @@
 	return wire.Bytes(), err
 }
 
-func TestLargeAnswerIsPassedOnWhileItComes(t *testing.T) {
+func TestLargeAnswerIsStreamed(t *testing.T) {
 	for name, send := range framings {
 		t.Run(name, func(t *testing.T) {
-			held := make(chan struct{})
+			headersRead := make(chan struct{})
 			u := startUpstream(t, func(n int, req *fasthttp.Request, c net.Conn) bool {
 				if n > 1 {
 					return answer(c, req, 200, "next")
 				}
 				r, w := io.Pipe()
 				go func() {
-					send(w, string(req.Header.Peek("Request-Id")), large, true)
+					send(w, string(req.Header.Peek("Request-Id")), largeBody, true)
 					_ = w.Close()
 				}()
-				_, _ = io.CopyN(c, r, int64(2*gatherMost))
-				<-held // The rest comes only once the caller has its first bytes.
+				_, _ = io.CopyN(c, r, int64(2*maxBuffered))
+				<-headersRead // The rest is sent only after Serve has returned the head.
 				_, _ = io.Copy(c, r)
 				return name != "close"
 			})
-			d := dispatcherOf(u.listener.Addr().String(), u.listener.Addr().String())
+			d := newSequentialDispatcher(u.listener.Addr().String(), u.listener.Addr().String())
 			f := New(d)
-			resp, report := order.serve(t, f, "a")
+			resp, report := nonIdempotentCall.serve(t, f, "a")
 			if !resp.IsBodyStream() || report.Status != 200 {
-				t.Fatalf("not passed on while it comes: %+v", report)
+				t.Fatalf("not streamed: %+v", report)
 			}
-			close(held)
+			close(headersRead)
 			wire, err := write(resp)
 			if err != nil {
 				t.Fatal(err)
@@ -87,49 +88,50 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if body, err := io.ReadAll(got.Body); err != nil || !bytes.Equal(body, large) {
-				t.Errorf("%d bytes of %d, %v", len(body), len(large), err)
+			if body, err := io.ReadAll(got.Body); err != nil || !bytes.Equal(body, largeBody) {
+				t.Errorf("%d bytes of %d, %v", len(body), len(largeBody), err)
 			}
-			d.waitIdle(t)
-			if _, report := order.serve(t, f, "b"); name != "close" && !report.Attempts[0].Reused {
-				t.Error("the connection is not used again")
+			d.waitUntilDrained(t)
+			if _, report := nonIdempotentCall.serve(t, f, "b"); name != "close" && !report.Attempts[0].Reused {
+				t.Error("the connection was not reused")
 			}
 		})
 	}
 }
 
-// waitIdle waits until every granted request has ended.
-func (d *inTurn) waitIdle(t *testing.T) {
+// waitUntilDrained waits until every granted request has ended.
+func (d *sequentialDispatcher) waitUntilDrained(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		d.mu.Lock()
-		open := d.open
+		running := d.running
 		d.mu.Unlock()
-		if open == 0 {
+		if running == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d requests never end", open)
+			t.Fatalf("%d requests did not end", running)
 		}
 	}
 }
 
-// An answer that breaks off must not look whole, wherever it does and however it is framed.
-func TestAnswerThatBreaksOffNeverLooksWhole(t *testing.T) {
+// A truncated answer must not look complete to the caller, wherever it is truncated and however its
+// body is delimited.
+func TestTruncatedAnswerNeverLooksComplete(t *testing.T) {
 	for name, send := range framings {
-		for _, sent := range []int{0, 1, gatherMost - 1, gatherMost, gatherMost + 1, 2 * gatherMost, len(large) - 1} {
+		for _, sent := range []int{0, 1, maxBuffered - 1, maxBuffered, maxBuffered + 1, 2 * maxBuffered, len(largeBody) - 1} {
 			t.Run(fmt.Sprint(name, " after ", sent), func(t *testing.T) {
 				u := startUpstream(t, func(_ int, req *fasthttp.Request, c net.Conn) bool {
-					send(c, string(req.Header.Peek("Request-Id")), large[:sent], false)
+					send(c, string(req.Header.Peek("Request-Id")), largeBody[:sent], false)
 					if name == "close" {
-						// Without a length only a reset tells that more was to come.
+						// Without a length, only a reset marks the body as truncated.
 						time.Sleep(20 * time.Millisecond)
 						return reset(0, req, c)
 					}
 					return false
 				})
-				d := dispatcherOf(u.listener.Addr().String())
-				resp, report := order.serve(t, New(d), "a")
+				d := newSequentialDispatcher(u.listener.Addr().String())
+				resp, report := nonIdempotentCall.serve(t, New(d), "a")
 				if report.Status == 502 {
 					return
 				}
@@ -142,51 +144,52 @@
 					return // Not even a head.
 				}
 				if body, err := io.ReadAll(got.Body); err == nil {
-					t.Errorf("the caller reads %d bytes of %d without an error", len(body), len(large))
+					t.Errorf("the caller reads %d bytes of %d without an error", len(body), len(largeBody))
 				}
-				d.waitIdle(t)
+				d.waitUntilDrained(t)
 			})
 		}
 	}
 }
 
-// A caller that cannot be told where an answer without a length ends does not get one that
-// may break off.
-func TestHTTP10CallerGetsNoAnswerOfUnknownEnd(t *testing.T) {
+// An HTTP/1.0 caller cannot detect that a body of unknown length is truncated, so it gets an error
+// instead of a stream.
+func TestHTTP10CallerGetsNoStreamOfUnknownLength(t *testing.T) {
 	u := startUpstream(t, func(_ int, req *fasthttp.Request, c net.Conn) bool {
-		framings["chunks"](c, string(req.Header.Peek("Request-Id")), large, true)
+		framings["chunks"](c, string(req.Header.Peek("Request-Id")), largeBody, true)
 		return true
 	})
-	old := order
+	old := nonIdempotentCall
 	old.http10 = true
-	if _, report := old.serve(t, New(dispatcherOf(u.listener.Addr().String())), "a"); report.Status != 502 {
+	if _, report := old.serve(t, New(newSequentialDispatcher(u.listener.Addr().String())), "a"); report.Status != 502 {
 		t.Errorf("status %d", report.Status)
 	}
 }
 
-// An endpoint in trouble sends bytes without end until its caller closes. Each costs a bounded
-// part of them, an order is not called unrun, and a lookup goes on elsewhere.
-func TestBytesWithoutEnd(t *testing.T) {
+// A faulty endpoint sends bytes until its peer closes the connection. A bounded number of them is
+// read, a non-idempotent request is not reported as not run, and an idempotent one is retried at
+// another endpoint.
+func TestEndlessBytes(t *testing.T) {
 	head := func(req *fasthttp.Request, rest string) string {
 		return fmt.Sprintf("HTTP/1.1 200 X\r\nRequest-Id: %s\r\nServer-Stamp: 3e\r\n%s", req.Header.Peek("Request-Id"), rest)
 	}
-	const sent = 4 << 20 // What sockets and buffers may hold, many times over what is read.
+	const sent = 4 << 20 // What sockets and buffers may hold; many times what is read.
 	for name, tc := range map[string]struct {
 		first func(req *fasthttp.Request) string
 		again string
 	}{
-		"no answer":             {func(*fasthttp.Request) string { return "" }, "\x00\x01garbage"},
-		"lines that say little": {func(*fasthttp.Request) string { return "" }, "\r\n"},
-		"status line":           {func(*fasthttp.Request) string { return "HTTP/1.1 200 " }, "fine "},
-		"head":                  {func(r *fasthttp.Request) string { return head(r, "") }, "X-Filler: 0123456789abcdef\r\n"},
-		"one header":            {func(r *fasthttp.Request) string { return head(r, "X-Filler: ") }, "0123456789abcdef"},
-		"interim answers":       {func(*fasthttp.Request) string { return "" }, "HTTP/1.1 102 Processing\r\n\r\n"},
-		"continue":              {func(*fasthttp.Request) string { return "" }, "HTTP/1.1 100 Continue\r\n\r\n"},
-		"chunk size":            {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n") }, "0"},
-		"chunk extension":       {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n5;") }, "ext=1;"},
-		"extension of the last": {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n0;") }, "ext=1;"},
-		"trailers":              {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n0\r\n") }, "X-Filler: 0123456789abcdef\r\n"},
-		"one trailer":           {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n0\r\nX-Filler: ") }, "0123456789abcdef"},
+		"no answer":            {func(*fasthttp.Request) string { return "" }, "\x00\x01garbage"},
+		"empty lines":          {func(*fasthttp.Request) string { return "" }, "\r\n"},
+		"status line":          {func(*fasthttp.Request) string { return "HTTP/1.1 200 " }, "fine "},
+		"head":                 {func(r *fasthttp.Request) string { return head(r, "") }, "X-Filler: 0123456789abcdef\r\n"},
+		"one header":           {func(r *fasthttp.Request) string { return head(r, "X-Filler: ") }, "0123456789abcdef"},
+		"interim answers":      {func(*fasthttp.Request) string { return "" }, "HTTP/1.1 102 Processing\r\n\r\n"},
+		"continue":             {func(*fasthttp.Request) string { return "" }, "HTTP/1.1 100 Continue\r\n\r\n"},
+		"chunk size":           {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n") }, "0"},
+		"chunk extension":      {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n5;") }, "ext=1;"},
+		"last chunk extension": {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n0;") }, "ext=1;"},
+		"trailers":             {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n0\r\n") }, "X-Filler: 0123456789abcdef\r\n"},
+		"one trailer":          {func(r *fasthttp.Request) string { return head(r, "Transfer-Encoding: chunked\r\n\r\n0\r\nX-Filler: ") }, "0123456789abcdef"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var written atomic.Int64
@@ -200,22 +203,22 @@
 				return false
 			})
 			ok := startUpstream(t, serveOK)
-			if _, report := order.serve(t, New(dispatcherOf(endless.listener.Addr().String(), ok.listener.Addr().String())), "a"); report.Status != 502 || len(report.Attempts) != 1 {
-				t.Errorf("order: %+v", report)
+			if _, report := nonIdempotentCall.serve(t, New(newSequentialDispatcher(endless.listener.Addr().String(), ok.listener.Addr().String())), "a"); report.Status != 502 || len(report.Attempts) != 1 {
+				t.Errorf("non-idempotent: %+v", report)
 			}
-			if resp, report := lookup.serve(t, New(dispatcherOf(endless.listener.Addr().String(), ok.listener.Addr().String())), "b"); string(resp.Body()) != "fine" {
-				t.Errorf("lookup: %+v", report)
+			if resp, report := idempotentCall.serve(t, New(newSequentialDispatcher(endless.listener.Addr().String(), ok.listener.Addr().String())), "b"); string(resp.Body()) != "fine" {
+				t.Errorf("idempotent: %+v", report)
 			}
 			if got := written.Load(); got > 2*sent {
-				t.Errorf("%d bytes were taken", got)
+				t.Errorf("%d bytes were sent", got)
 			}
 		})
 	}
 }
 
-// Bytes without end after a whole answer, or in a body that never ends, cost no memory, and
-// end with the request.
-func TestBodyWithoutEndIsBounded(t *testing.T) {
+// Endless bytes after a complete answer, or in a body that never ends, use bounded memory, and the
+// connection is closed at the request's deadline.
+func TestEndlessBodyIsBounded(t *testing.T) {
 	for name, tc := range map[string]struct{ rest, again string }{
 		"chunks":       {"Transfer-Encoding: chunked\r\n\r\n", "400\r\n" + strings.Repeat("x", 1024) + "\r\n"},
 		"close":        {"\r\n", strings.Repeat("x", 1024)},
@@ -231,8 +234,8 @@
 				close(gone)
 				return false
 			})
-			d := dispatcherOf(u.listener.Addr().String())
-			short := order
+			d := newSequentialDispatcher(u.listener.Addr().String())
+			short := nonIdempotentCall
 			short.timeout = 300 * time.Millisecond
 			resp, report := short.serve(t, New(d), "a")
 			if report.Status != 200 {
@@ -242,21 +245,21 @@
 			if err := resp.Write(w); (err == nil) != (name == "after answer") {
 				t.Errorf("written: %v", err)
 			}
-			d.waitIdle(t)
+			d.waitUntilDrained(t)
 			select {
 			case <-gone:
-			case <-time.After(patience):
-				t.Error("the endpoint still sends")
+			case <-time.After(testTimeout):
+				t.Error("the endpoint is still sending")
 			}
 		})
 	}
 }
 
-// The load that it answers: many callers on slow links ask for large answers at once. What is
-// held of them is bounded whatever their number.
+// Many callers on slow links request large answers at once. The memory that buffers the answers is
+// bounded whatever their number.
 func TestSlowReadersHoldBoundedMemory(t *testing.T) {
 	const readers = 200
-	body := bytes.Repeat(large, 4) // 4 MB each: 800 MB if they were gathered.
+	body := bytes.Repeat(largeBody, 4) // 4 MB each: 800 MB if they were buffered.
 	u := startUpstream(t, func(_ int, req *fasthttp.Request, c net.Conn) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nRequest-Id: %s\r\nServer-Stamp: 3e\r\nContent-Length: %d\r\n\r\n", req.Header.Peek("Request-Id"), len(body))
 		_, err := c.Write(body)
@@ -266,7 +269,7 @@
 	for range readers {
 		addrs = append(addrs, u.listener.Addr().String())
 	}
-	f := New(dispatcherOf(addrs...))
+	f := New(newSequentialDispatcher(addrs...))
 	f.SetInServiceCount(func() int64 { return readers })
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -277,19 +280,19 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			answers[i], _ = order.serve(t, f, fmt.Sprint("r", i))
+			answers[i], _ = nonIdempotentCall.serve(t, f, fmt.Sprint("r", i))
 		}()
 	}
 	all.Wait()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	const perReader = 64 << 10 // Buffers, request and goroutines besides.
-	if got, most := after.HeapAlloc-before.HeapAlloc, uint64(gatherTotal+readers*perReader); after.HeapAlloc > before.HeapAlloc && got > most {
-		t.Errorf("%d answers of %d bytes hold %d bytes, at most %d", readers, len(body), got, most)
+	const perReaderOverhead = 64 << 10 // Other buffers, the request and goroutines.
+	if got, most := after.HeapAlloc-before.HeapAlloc, uint64(totalBuffered+readers*perReaderOverhead); after.HeapAlloc > before.HeapAlloc && got > most {
+		t.Errorf("%d answers of %d bytes hold %d bytes, want at most %d", readers, len(body), got, most)
 	}
 	for _, resp := range answers {
 		if !resp.IsBodyStream() {
-			t.Fatalf("an answer of %d bytes was gathered", len(resp.Body()))
+			t.Fatalf("an answer of %d bytes was buffered", len(resp.Body()))
 		}
 		_ = resp.CloseBodyStream()
 	}
