--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -17,44 +17,45 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// echo answers with the request's path and body. Paths that begin with /wait wait for release.
-type echo struct {
-	limits  Limits
-	started chan string
-	left    chan string
-	release chan struct{}
+// echoHandler answers with the request's path and body. A path that begins with /wait is answered
+// after release is closed.
+type echoHandler struct {
+	limits       Limits
+	started      chan string
+	disconnected chan string
+	release      chan struct{}
 }
 
-func newEcho() *echo {
-	return &echo{
-		limits:  Limits{HeadBytes: 8 << 10, BodyBytes: 1000, HeadTimeout: patience, IdleTimeout: patience},
-		started: make(chan string, 100), left: make(chan string, 100), release: make(chan struct{}),
+func newEchoHandler() *echoHandler {
+	return &echoHandler{
+		limits:  Limits{HeadBytes: 8 << 10, BodyBytes: 1000, HeadTimeout: testTimeout, IdleTimeout: testTimeout},
+		started: make(chan string, 100), disconnected: make(chan string, 100), release: make(chan struct{}),
 	}
 }
 
-func (e *echo) Limits() Limits { return e.limits }
+func (e *echoHandler) Limits() Limits { return e.limits }
 
-func (e *echo) Reject(code result.Code, _ string, resp *fasthttp.Response) {
+func (e *echoHandler) Reject(code result.Code, _ string, resp *fasthttp.Response) {
 	entry, _ := result.Lookup(code)
 	resp.SetStatusCode(entry.Status)
 }
 
-func (e *echo) Serve(ctx context.Context, r Request, resp *fasthttp.Response) {
+func (e *echoHandler) Serve(ctx context.Context, r Request, resp *fasthttp.Response) {
 	path := string(r.HTTP.Header.RequestURI())
 	e.started <- path
 	if strings.HasPrefix(path, "/wait") {
 		select {
 		case <-ctx.Done():
-			e.left <- path
+			e.disconnected <- path
 		case <-e.release:
 		}
 	}
 	resp.SetBodyString(path + " " + string(r.HTTP.Body()))
 }
 
-func serve(t *testing.T, e *echo) *Server {
+func serve(t *testing.T, e *echoHandler) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", e)
 	if err != nil {
@@ -63,7 +64,7 @@
 	done := make(chan error, 1)
 	go func() { done <- s.Run() }()
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		_ = s.Shutdown(ctx)
 		if err := <-done; err != nil {
@@ -80,18 +81,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
-func write(t *testing.T, c net.Conn, text string) {
+func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func read(t *testing.T, br *bufio.Reader) (int, string) {
+func readAnswer(t *testing.T, br *bufio.Reader) (int, string) {
 	t.Helper()
 	var resp fasthttp.Response
 	if err := resp.Read(br); err != nil {
@@ -100,33 +101,33 @@
 	return resp.StatusCode(), string(resp.Body())
 }
 
-func wait[T any](t *testing.T, what string, c <-chan T) T {
+func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatalf("never: %s", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting for: %s", what)
 		panic("unreachable")
 	}
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	s := serve(t, newEcho())
+	s := serve(t, newEchoHandler())
 	c, br := dial(t, s)
 	var all strings.Builder
 	for i := range 20 {
 		fmt.Fprintf(&all, "POST /%d HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", i)
 	}
-	write(t, c, all.String())
+	send(t, c, all.String())
 	for i := range 20 {
-		if status, body := read(t, br); status != 200 || body != fmt.Sprintf("/%d abc", i) {
+		if status, body := readAnswer(t, br); status != 200 || body != fmt.Sprintf("/%d abc", i) {
 			t.Fatalf("answer %d: %d %q", i, status, body)
 		}
 	}
 }
 
-func TestRequestsThatCanBeReadInTwoWaysAreRefused(t *testing.T) {
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n"
 	for name, head := range map[string]string{
 		"two lengths":          "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 36\r\n\r\n",
@@ -143,15 +144,15 @@
 		"no host":              "GET / HTTP/1.1\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEcho()
+			e := newEchoHandler()
 			s := serve(t, e)
 			c, br := dial(t, s)
-			write(t, c, head+smuggled)
-			if status, _ := read(t, br); status != 400 {
+			send(t, c, head+smuggled)
+			if status, _ := readAnswer(t, br); status != 400 {
 				t.Errorf("status %d", status)
 			}
 			if _, err := br.ReadByte(); err != io.EOF {
-				t.Errorf("the connection goes on: %v", err)
+				t.Errorf("the connection stays open: %v", err)
 			}
 			if len(e.started) != 0 {
 				t.Errorf("served %q", <-e.started)
@@ -160,7 +161,7 @@
 	}
 }
 
-func TestBoundsOfARequest(t *testing.T) {
+func TestRequestLimits(t *testing.T) {
 	for name, tc := range map[string]struct {
 		request string
 		status  int
@@ -172,68 +173,68 @@
 		"body in bounds": {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n" + strings.Repeat("a", 1000), 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, newEcho())
+			s := serve(t, newEchoHandler())
 			c, br := dial(t, s)
-			write(t, c, tc.request)
-			if status, _ := read(t, br); status != tc.status {
+			send(t, c, tc.request)
+			if status, _ := readAnswer(t, br); status != tc.status {
 				t.Errorf("status %d, want %d", status, tc.status)
 			}
 		})
 	}
 }
 
-func TestASlowHeadTimesOut(t *testing.T) {
-	e := newEcho()
+func TestSlowHeadTimesOut(t *testing.T) {
+	e := newEchoHandler()
 	e.limits.HeadTimeout = 50 * time.Millisecond
 	s := serve(t, e)
 	c, br := dial(t, s)
-	write(t, c, "GET / HTTP/1.1\r\nHost: h\r\nX-")
-	if status, _ := read(t, br); status != 408 {
+	send(t, c, "GET / HTTP/1.1\r\nHost: h\r\nX-")
+	if status, _ := readAnswer(t, br); status != 408 {
 		t.Errorf("status %d", status)
 	}
 }
 
-func TestACallerThatLeavesEndsItsRequest(t *testing.T) {
-	e := newEcho()
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
+	e := newEchoHandler()
 	s := serve(t, e)
 	c, _ := dial(t, s)
-	write(t, c, "GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
-	wait(t, "the request starts", e.started)
+	send(t, c, "GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
+	receive(t, "the start of the request", e.started)
 	_ = c.Close()
-	wait(t, "the request is told that its caller left", e.left)
+	receive(t, "the request's context is cancelled", e.disconnected)
 }
 
-func TestAPipelinedRequestIsNoLeaving(t *testing.T) {
-	e := newEcho()
+func TestPipelinedRequestIsNotADisconnect(t *testing.T) {
+	e := newEchoHandler()
 	s := serve(t, e)
 	c, br := dial(t, s)
-	write(t, c, "GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
-	wait(t, "the request starts", e.started)
-	write(t, c, "GET /next HTTP/1.1\r\nHost: h\r\n\r\n")
+	send(t, c, "GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
+	receive(t, "the start of the request", e.started)
+	send(t, c, "GET /next HTTP/1.1\r\nHost: h\r\n\r\n")
 	close(e.release)
 	for _, want := range []string{"/wait ", "/next "} {
-		if status, body := read(t, br); status != 200 || body != want {
+		if status, body := readAnswer(t, br); status != 200 || body != want {
 			t.Errorf("%d %q, want %q", status, body, want)
 		}
 	}
-	if len(e.left) != 0 {
-		t.Error("the request was told that its caller left")
+	if len(e.disconnected) != 0 {
+		t.Error("the request's context was cancelled")
 	}
 }
 
-func TestShutdownCutsOffNoRequest(t *testing.T) {
-	e := newEcho()
+func TestShutdownCompletesRequests(t *testing.T) {
+	e := newEchoHandler()
 	s := serve(t, e)
 	busy, busyReader := dial(t, s)
 	idle, idleReader := dial(t, s)
-	write(t, idle, "GET /idle HTTP/1.1\r\nHost: h\r\n\r\n")
-	read(t, idleReader)
+	send(t, idle, "GET /idle HTTP/1.1\r\nHost: h\r\n\r\n")
+	readAnswer(t, idleReader)
 	<-e.started
-	write(t, busy, "GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
-	wait(t, "the request starts", e.started)
+	send(t, busy, "GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
+	receive(t, "the start of the request", e.started)
 	done := make(chan error, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		done <- s.Shutdown(ctx)
 	}()
@@ -245,21 +246,21 @@
 	if err := resp.Read(busyReader); err != nil || resp.StatusCode() != 200 || !resp.ConnectionClose() {
 		t.Errorf("status %d, close %v, %v", resp.StatusCode(), resp.ConnectionClose(), err)
 	}
-	if err := wait(t, "shutdown ends", done); err != nil {
+	if err := receive(t, "the end of Shutdown", done); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestHeadRequestGetsNoBody(t *testing.T) {
-	s := serve(t, newEcho())
+	s := serve(t, newEchoHandler())
 	c, br := dial(t, s)
-	write(t, c, "HEAD /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n")
+	send(t, c, "HEAD /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n")
 	var resp fasthttp.Response
 	resp.SkipBody = true
 	if err := resp.Read(br); err != nil {
 		t.Fatal(err)
 	}
-	if status, body := read(t, br); status != 200 || body != "/b " {
+	if status, body := readAnswer(t, br); status != 200 || body != "/b " {
 		t.Errorf("%d %q", status, body)
 	}
 }
@@ -269,7 +270,7 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		head, err := awaitHead(bufio.NewReaderSize(strings.NewReader(string(data)), 8<<10), 8<<10)
+		head, err := peekHead(bufio.NewReaderSize(strings.NewReader(string(data)), 8<<10), 8<<10)
 		if err != nil || checkHead(head) != nil {
 			return
 		}
@@ -278,20 +279,20 @@
 			return
 		}
 		if len(req.Header.PeekAll(fasthttp.HeaderContentLength)) > 1 {
-			t.Errorf("two lengths pass: %q", head)
+			t.Errorf("two lengths are accepted: %q", head)
 		}
 	})
 }
 
-// Callers that connected just before a stop have sent their requests already; they wait in the
-// listener's queue. All are answered.
-func TestShutdownAnswersThoseThatWaitToBeAccepted(t *testing.T) {
-	s := serve(t, newEcho())
-	s.mu.Lock() // The accepting goroutine is held up with the first connection.
+// Callers that connected just before a shutdown have sent their requests and wait in the listener's
+// backlog. All of them must be answered.
+func TestShutdownAnswersBacklog(t *testing.T) {
+	s := serve(t, newEchoHandler())
+	s.mu.Lock() // Blocks Run while it registers the first connection.
 	var readers []*bufio.Reader
 	for range 12 {
 		c, br := dial(t, s)
-		write(t, c, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
+		send(t, c, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 		readers = append(readers, br)
 	}
 	stopped := make(chan error, 1)
@@ -307,7 +308,7 @@
 			t.Errorf("caller %d: status %d, %v", i, resp.StatusCode(), err)
 		}
 	}
-	if err := wait(t, "stopped", stopped); err != nil {
+	if err := receive(t, "the end of Shutdown", stopped); err != nil {
 		t.Error(err)
 	}
 }
@@ -324,17 +325,18 @@
 	return n, err
 }
 
-// A request on a kept connection may cross its close, at a planned stop or after the idle time.
-// It gets a whole answer or is not read: one that was read and thrown away would be lost.
-func TestRequestsThatCrossTheCloseAreAnsweredOrNotRead(t *testing.T) {
+// A request on a kept-alive connection may arrive while the server closes it, at a planned stop or
+// after the idle timeout. It must get a complete answer or not be read: one that was read and
+// discarded would be lost.
+func TestRequestsDuringCloseAreAnsweredOrNotRead(t *testing.T) {
 	const request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
-	for name, idle := range map[string]time.Duration{"planned stop": patience, "idle": 4 * time.Millisecond} {
+	for name, idle := range map[string]time.Duration{"planned stop": testTimeout, "idle": 4 * time.Millisecond} {
 		for round := range 10 {
-			e := newEcho()
+			e := newEchoHandler()
 			e.started = make(chan string, 100_000)
 			e.limits.IdleTimeout = idle
 			s := serve(t, e)
-			var read atomic.Int64
+			var bytesRead atomic.Int64
 			const callers = 40
 			var ready, done sync.WaitGroup
 			ready.Add(callers)
@@ -359,23 +361,23 @@
 						t.Error(err)
 						return
 					}
-					s.serve(countedConn{server.(*net.TCPConn), &read})
+					s.serve(countedConn{server.(*net.TCPConn), &bytesRead})
 					done.Add(1)
 					go func() {
 						defer done.Done()
 						defer func() { _ = c.Close() }()
-						_ = c.SetDeadline(time.Now().Add(patience))
+						_ = c.SetDeadline(time.Now().Add(testTimeout))
 						br := bufio.NewReader(c)
 						for k := 0; ; k++ {
 							if _, err := io.WriteString(c, request); err != nil {
 								return
 							}
 							if _, err := br.Peek(1); err != nil {
-								return // Closed without an answer: it must not have been read.
+								return // Closed without an answer: the request must not have been read.
 							}
 							var resp fasthttp.Response
 							if err := resp.Read(br); err != nil {
-								t.Errorf("%s, round %d, caller %d: half an answer: %v", name, round, i, err)
+								t.Errorf("%s, round %d, caller %d: incomplete answer: %v", name, round, i, err)
 							}
 							if resp.ConnectionClose() || k > 200 {
 								return
@@ -391,8 +393,8 @@
 				t.Error(err)
 			}
 			done.Wait()
-			if served := int64(len(e.started)); read.Load() != served*int64(len(request)) {
-				t.Errorf("%s, round %d: %d bytes read, %d requests of %d bytes served", name, round, read.Load(), served, len(request))
+			if served := int64(len(e.started)); bytesRead.Load() != served*int64(len(request)) {
+				t.Errorf("%s, round %d: %d bytes read, %d requests of %d bytes served", name, round, bytesRead.Load(), served, len(request))
 			}
 		}
 	}
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -18,88 +18,89 @@
 )
 
 const (
-	// readBufferBytes holds a usual request; a larger head gets a larger buffer.
+	// readBufferBytes holds a typical request; the buffer grows for a larger head.
 	readBufferBytes = 4 << 10
-	// bodyTimeout bounds the time for a request's body, as long as the longest deadline of callers.
+	// bodyTimeout bounds the time to receive a request's body. It equals the longest deadline of
+	// callers.
 	bodyTimeout = 10 * time.Second
-	// writeTimeout bounds the writing of an answer to a caller that does not read.
+	// writeTimeout bounds the time to write an answer to a caller that does not read.
 	writeTimeout = 10 * time.Second
-	// firstRequestWait is how long a caller that connected before a stop may take to begin its
-	// request: a few times the way there and back.
-	firstRequestWait = 300 * time.Millisecond
-	// lingerTimeout bounds the reading of what a caller still sends, so that closing does not
-	// reset the connection before the caller has read its answer.
+	// firstRequestTimeout is how long after accepting a connection the server waits for its first
+	// request during a shutdown: a few round trips.
+	firstRequestTimeout = 300 * time.Millisecond
+	// lingerTimeout bounds the time that data from the caller is discarded before a close. Closing
+	// with unread data would reset the connection before the caller has read its answer.
 	lingerTimeout = 500 * time.Millisecond
-	// lingerBytes bounds it in bytes.
+	// lingerBytes bounds the data discarded.
 	lingerBytes = 256 << 10
 )
 
-// conn is one connection of a caller.
+// conn is a caller's connection.
 type conn struct {
 	server *Server
 	nc     net.Conn
 	br     *bufio.Reader
 	bw     *bufio.Writer
 
-	accepted time.Time
-	idle     time.Duration // Longest idle time that the caller may count on.
-	served   bool          // A request was answered.
-	ends     bool          // This side ends the connection with the answer that it has written.
+	acceptedAt     time.Time
+	idleTimeout    time.Duration // Longest idle timeout that applied since the connection was accepted.
+	served         bool          // At least one request was answered.
+	lastAnswerSent bool          // The server has answered and closes the connection first.
 
-	mu      sync.Mutex
-	reading bool // A request has begun to arrive.
+	mu        sync.Mutex
+	receiving bool // At least one byte of a request has arrived.
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	return &conn{server: s, nc: nc, accepted: time.Now(), br: bufio.NewReaderSize(nc, readBufferBytes), bw: bufio.NewWriterSize(nc, readBufferBytes)}
+	return &conn{server: s, nc: nc, acceptedAt: time.Now(), br: bufio.NewReaderSize(nc, readBufferBytes), bw: bufio.NewWriterSize(nc, readBufferBytes)}
 }
 
 func (c *conn) run() {
 	defer func() { _ = c.nc.Close() }()
-	for c.next() {
+	for c.serveNext() {
 		c.served = true
 	}
-	if c.ends {
+	if c.lastAnswerSent {
 		c.linger()
 	}
 }
 
-// next serves one request and tells whether the connection goes on.
-func (c *conn) next() bool {
+// serveNext serves one request and reports whether the connection stays open.
+func (c *conn) serveNext() bool {
 	if !c.awaitRequest() {
 		return false
 	}
 	limits := c.server.handler.Limits()
 	arrived := time.Now()
 	_ = c.nc.SetReadDeadline(arrived.Add(limits.HeadTimeout))
-	head, err := awaitHead(c.br, limits.HeadBytes)
-	if errors.Is(err, bufio.ErrBufferFull) && c.grow(limits.HeadBytes) {
-		head, err = awaitHead(c.br, limits.HeadBytes)
+	head, err := peekHead(c.br, limits.HeadBytes)
+	if errors.Is(err, bufio.ErrBufferFull) && c.growBuffer(limits.HeadBytes) {
+		head, err = peekHead(c.br, limits.HeadBytes)
 	}
 	if err != nil {
-		c.refuseHead(err)
+		c.rejectHead(err)
 		return false
 	}
 	if err := checkHead(head); err != nil {
-		c.refuse(result.CodeMalformedRequest, err.Error())
+		c.reject(result.CodeMalformedRequest, err.Error())
 		return false
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	if !c.read(req, limits) {
+	if !c.readRequest(req, limits) {
 		return false
 	}
-	return c.answer(Request{HTTP: req, Arrived: time.Now()}, resp)
+	return c.serveRequest(Request{HTTP: req, Arrived: time.Now()}, resp)
 }
 
-// awaitRequest waits for the first byte of a request and tells whether it came.
+// awaitRequest waits for the first byte of a request and reports whether it arrived.
 func (c *conn) awaitRequest() bool {
 	since := time.Now()
-	for c.mayWait(since) {
+	for c.setWaitDeadline(since) {
 		_, err := c.br.Peek(1)
 		c.mu.Lock()
-		c.reading = err == nil
+		c.receiving = err == nil
 		c.mu.Unlock()
 		if err == nil {
 			return true
@@ -108,27 +109,27 @@
 			return false
 		}
 	}
-	// Closed at once: a request that crosses the close is reset, which tells its caller that it
-	// was not read. Read and thrown away, it would be lost.
+	// The connection is closed without reading on. A request that arrives during the close gets a
+	// reset, which shows its caller that it was not read; discarding it would lose the request.
 	return false
 }
 
-// mayWait sets how long a request may take to begin, and tells whether it may still begin.
-// One whose first bytes are there already may, whatever the time.
-func (c *conn) mayWait(since time.Time) bool {
+// setWaitDeadline sets the deadline for the first byte of a request and reports whether the deadline
+// is still ahead. A request whose first bytes have arrived already gets HeadTimeout in any case.
+func (c *conn) setWaitDeadline(since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading = false
+	c.receiving = false
 	limits := c.server.handler.Limits()
-	c.idle = max(c.idle, limits.IdleTimeout) // It may have grown meanwhile; a caller may count on the newest.
+	c.idleTimeout = max(c.idleTimeout, limits.IdleTimeout) // A change of settings must not shorten the timeout that was announced.
 	now := time.Now()
-	until := since.Add(c.idle)
+	until := since.Add(c.idleTimeout)
 	switch {
 	case !c.server.closing.Load():
 	case c.served:
 		until = now
 	default:
-		until = c.accepted.Add(firstRequestWait)
+		until = c.acceptedAt.Add(firstRequestTimeout)
 	}
 	if !now.Before(until) {
 		if c.br.Buffered() == 0 && sockpeek.Look(c.nc) != sockpeek.Data {
@@ -140,46 +141,46 @@
 	return true
 }
 
-// wake ends the wait of an idle connection.
-func (c *conn) wake() {
+// interruptIdle makes awaitRequest recompute the deadline of an idle connection.
+func (c *conn) interruptIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.reading {
+	if !c.receiving {
 		_ = c.nc.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// grow makes room for a head of the size allowed and tells whether there was too little.
-func (c *conn) grow(headBytes int) bool {
+// growBuffer replaces the read buffer by one of headBytes and reports whether it was smaller.
+func (c *conn) growBuffer(headBytes int) bool {
 	if c.br.Size() >= headBytes {
 		return false
 	}
 	buffered, _ := c.br.Peek(c.br.Buffered())
-	old := bytes.Clone(buffered)
-	c.br = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(old), c.nc), headBytes)
+	received := bytes.Clone(buffered)
+	c.br = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(received), c.nc), headBytes)
 	return true
 }
 
-// refuseHead answers a request whose head did not come whole.
-func (c *conn) refuseHead(err error) {
+// rejectHead answers a request whose head could not be read completely.
+func (c *conn) rejectHead(err error) {
 	switch {
 	case errors.Is(err, errHeadTooLarge), errors.Is(err, bufio.ErrBufferFull):
-		c.refuse(result.CodeHeadTooLarge, errHeadTooLarge.Error())
-	case errors.Is(err, errBareLine):
-		c.refuse(result.CodeMalformedRequest, err.Error())
+		c.reject(result.CodeHeadTooLarge, errHeadTooLarge.Error())
+	case errors.Is(err, errBareLineFeed):
+		c.reject(result.CodeMalformedRequest, err.Error())
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.refuse(result.CodeRequestTimedOut, "the head did not arrive in time")
+		c.reject(result.CodeRequestTimedOut, "the head did not arrive in time")
 	}
 }
 
-// read reads a request whose head is buffered and tells whether it is whole.
-func (c *conn) read(req *fasthttp.Request, limits Limits) bool {
+// readRequest reads a request whose head is buffered and reports whether it is complete.
+func (c *conn) readRequest(req *fasthttp.Request, limits Limits) bool {
 	if err := req.Header.Read(c.br); err != nil {
-		c.refuse(result.CodeMalformedRequest, err.Error())
+		c.reject(result.CodeMalformedRequest, err.Error())
 		return false
 	}
 	if req.Header.ContentLength() > limits.BodyBytes {
-		c.refuse(result.CodeBodyTooLarge, "the body is over its bound")
+		c.reject(result.CodeBodyTooLarge, "the body is over its bound")
 		return false
 	}
 	_ = c.nc.SetReadDeadline(time.Now().Add(bodyTimeout))
@@ -193,41 +194,42 @@
 	case err == nil:
 		return true
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		c.refuse(result.CodeBodyTooLarge, "the body is over its bound")
+		c.reject(result.CodeBodyTooLarge, "the body is over its bound")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.refuse(result.CodeRequestTimedOut, "the body did not arrive in time")
+		c.reject(result.CodeRequestTimedOut, "the body did not arrive in time")
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed):
-		// The caller left before its request was whole.
+		// The caller disconnected before its request was complete.
 	default:
-		c.refuse(result.CodeMalformedRequest, err.Error())
+		c.reject(result.CodeMalformedRequest, err.Error())
 	}
 	return false
 }
 
-// answer has a request served and writes the answer.
-func (c *conn) answer(r Request, resp *fasthttp.Response) bool {
+// serveRequest passes a request to the handler, writes the answer, and reports whether the connection
+// stays open.
+func (c *conn) serveRequest(r Request, resp *fasthttp.Response) bool {
 	c.server.inFlight.Add(1)
 	defer c.server.inFlight.Add(-1)
-	head := r.HTTP.Header.IsHead()
-	last := r.HTTP.Header.ConnectionClose()
+	isHead := r.HTTP.Header.IsHead()
+	closeAfter := r.HTTP.Header.ConnectionClose()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	watch := c.watch(cancel)
+	watcher := c.watchDisconnect(cancel)
 	c.server.handler.Serve(ctx, r, resp)
-	watch.end()
+	watcher.stop()
 	if ctx.Err() != nil {
 		return false
 	}
-	resp.SkipBody = head
-	ok := c.write(resp, last)
-	c.ends = !ok
+	resp.SkipBody = isHead
+	ok := c.write(resp, closeAfter)
+	c.lastAnswerSent = !ok
 	return ok
 }
 
-// write writes an answer and tells whether the connection goes on.
-func (c *conn) write(resp *fasthttp.Response, last bool) bool {
-	last = last || c.server.draining.Load()
-	if last {
+// write writes an answer and reports whether the connection stays open.
+func (c *conn) write(resp *fasthttp.Response, closeAfter bool) bool {
+	closeAfter = closeAfter || c.server.draining.Load()
+	if closeAfter {
 		resp.SetConnectionClose()
 	}
 	_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -237,22 +239,22 @@
 	if err := c.bw.Flush(); err != nil {
 		return false
 	}
-	return !last
+	return !closeAfter
 }
 
-// refuse answers a request that cannot be read, and closes the connection.
-func (c *conn) refuse(code result.Code, detail string) {
+// reject answers a request that cannot be read and ends the connection.
+func (c *conn) reject(code result.Code, detail string) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	c.server.handler.Reject(code, detail, resp)
 	c.write(resp, true)
-	c.ends = true
+	c.lastAnswerSent = true
 }
 
-// linger ends this side and reads on until the caller has closed its own.
+// linger closes the sending side and discards data until the caller closes the other one.
 func (c *conn) linger() {
-	if half, ok := c.nc.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if halfCloser, ok := c.nc.(interface{ CloseWrite() error }); ok {
+		_ = halfCloser.CloseWrite()
 	}
 	_ = c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.CopyN(io.Discard, c.nc, lingerBytes)
--- a/internal/callers/head.go
+++ b/internal/callers/head.go
@@ -8,22 +8,22 @@
 	"strings"
 )
 
-// Faults of a request's head.
+// Errors of a request's head. Their texts are written into the answer.
 var (
-	errHeadTooLarge = errors.New("the head is over its bound")
-	errBareLine     = errors.New("a line of the head does not end with CR LF")
-	errFolded       = errors.New("a header is folded over lines")
-	errFieldName    = errors.New("a header's name is malformed")
-	errTwoLengths   = errors.New("more than one length, or a length and chunks")
-	errLength       = errors.New("the length is malformed")
-	errCoding       = errors.New("the transfer coding is not chunked alone")
-	errTwoHosts     = errors.New("not exactly one Host")
+	errHeadTooLarge   = errors.New("the head is over its bound")
+	errBareLineFeed   = errors.New("a line of the head does not end with CR LF")
+	errFolded         = errors.New("a header is folded over lines")
+	errFieldName      = errors.New("a header's name is malformed")
+	errTwoLengths     = errors.New("more than one length, or a length and chunks")
+	errLength         = errors.New("the length is malformed")
+	errTransferCoding = errors.New("the transfer coding is not chunked alone")
+	errHostCount      = errors.New("not exactly one Host")
 )
 
 var headEnd = []byte("\r\n\r\n")
 
-// awaitHead waits until a request's whole head is buffered, and returns it.
-func awaitHead(br *bufio.Reader, limit int) ([]byte, error) {
+// peekHead waits until a request's complete head is buffered and returns it without consuming it.
+func peekHead(br *bufio.Reader, limit int) ([]byte, error) {
 	size := 1
 	for {
 		_, err := br.Peek(size)
@@ -35,7 +35,7 @@
 			return buffered[:end+len(headEnd)], nil
 		}
 		if bytes.Contains(buffered, []byte("\n\n")) || bytes.Contains(buffered, []byte("\n\r\n")) {
-			return nil, errBareLine
+			return nil, errBareLineFeed
 		}
 		if err != nil {
 			return nil, err
@@ -47,13 +47,13 @@
 	}
 }
 
-// checkHead refuses heads whose request could be read in two ways.
+// checkHead returns an error for a head that two HTTP implementations could interpret differently.
 func checkHead(head []byte) error {
 	lines := strings.Split(strings.TrimSuffix(string(head), "\r\n\r\n"), "\r\n")
 	lengths, codings, hosts := 0, 0, 0
 	for i, line := range lines {
 		if strings.ContainsAny(line, "\r\n\x00") {
-			return errBareLine
+			return errBareLineFeed
 		}
 		if i == 0 {
 			continue
@@ -75,7 +75,7 @@
 		case "transfer-encoding":
 			codings++
 			if !strings.EqualFold(value, "chunked") {
-				return fmt.Errorf("%w: %q", errCoding, value)
+				return fmt.Errorf("%w: %q", errTransferCoding, value)
 			}
 		case "host":
 			hosts++
@@ -85,12 +85,12 @@
 		return errTwoLengths
 	}
 	if hosts != 1 {
-		return errTwoHosts
+		return errHostCount
 	}
 	return nil
 }
 
-// maxLengthDigits keeps a length within 63 bits.
+// maxLengthDigits keeps a Content-Length within 63 bits.
 const maxLengthDigits = 18
 
 func isNumber(s string) bool {
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -22,30 +22,31 @@
 	IdleTimeout time.Duration // Between an answer and the next request.
 }
 
-// Request is one request of a caller.
+// Request is a caller's request.
 type Request struct {
 	HTTP    *fasthttp.Request // Valid until the handler returns.
 	Arrived time.Time
 }
 
-// Handler answers requests. It must not use a request or an answer after it returned.
+// Handler answers requests. It must not retain a request or an answer after it returns.
 type Handler interface {
-	// Serve fills in the answer. ctx ends when the caller has gone; the answer is then dropped.
+	// Serve fills in the answer. ctx is cancelled when the caller disconnects; the answer is then
+	// dropped.
 	Serve(ctx context.Context, r Request, resp *fasthttp.Response)
 	// Reject fills in the answer to a request that could not be read.
 	Reject(code result.Code, detail string, resp *fasthttp.Response)
-	// Limits returns the bounds in force.
+	// Limits returns the active limits.
 	Limits() Limits
 }
 
-// Server serves the callers of one address.
+// Server serves callers on one address.
 type Server struct {
-	handler  Handler
-	listener *net.TCPListener
-	accepted chan struct{} // Closed when Run takes no more connections.
-	draining atomic.Bool
-	closing  atomic.Bool
-	inFlight atomic.Int64
+	handler    Handler
+	listener   *net.TCPListener
+	acceptDone chan struct{} // Closed when Run accepts no more connections.
+	draining   atomic.Bool
+	closing    atomic.Bool
+	inFlight   atomic.Int64
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
@@ -58,29 +59,29 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for callers on %s: %w", addr, err)
 	}
-	return &Server{handler: handler, listener: listener.(*net.TCPListener), accepted: make(chan struct{}), conns: make(map[*conn]struct{})}, nil
+	return &Server{handler: handler, listener: listener.(*net.TCPListener), acceptDone: make(chan struct{}), conns: make(map[*conn]struct{})}, nil
 }
 
-// Addr returns the address that the server listens on.
+// Addr returns the IP number and port that the server listens on.
 func (s *Server) Addr() string {
 	return s.listener.Addr().String()
 }
 
 const (
-	// acceptPause is how long accepting rests when descriptors have run out.
-	acceptPause = 20 * time.Millisecond
-	// queueWait is how long the queue of new connections must be empty before it is closed, and
-	// queueMost how long it is emptied at most: closing it resets what waits in it.
-	queueWait = 20 * time.Millisecond
-	queueMost = 300 * time.Millisecond
+	// acceptRetryDelay is the pause after a failed accept, for instance when file descriptors run out.
+	acceptRetryDelay = 20 * time.Millisecond
+	// On shutdown, connections in the listener's backlog are accepted until it has been empty for
+	// backlogIdleTime, for at most backlogTimeout: closing the listener resets those left in it.
+	backlogIdleTime = 20 * time.Millisecond
+	backlogTimeout  = 300 * time.Millisecond
 )
 
-// Run takes connections until Shutdown, and then those that wait to be taken.
+// Run accepts connections until Shutdown, and then those in the listener's backlog.
 func (s *Server) Run() error {
-	defer close(s.accepted)
-	var until time.Time // Set once Shutdown was called.
+	defer close(s.acceptDone)
+	var backlogDeadline time.Time // Zero until Shutdown was called.
 	for {
-		asked := time.Now()
+		waitStart := time.Now()
 		c, err := s.listener.Accept()
 		switch {
 		case err == nil:
@@ -88,22 +89,22 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case !s.closing.Load():
-			// Out of descriptors or a caller that left at once: both pass.
-			time.Sleep(acceptPause)
+			// Out of file descriptors, or the caller disconnected before the accept: both are transient.
+			time.Sleep(acceptRetryDelay)
 			continue
-		case !until.IsZero() && time.Since(asked) >= queueWait:
-			return nil // The queue was empty for that long.
+		case !backlogDeadline.IsZero() && time.Since(waitStart) >= backlogIdleTime:
+			return nil // The backlog was empty for that long.
 		}
 		if !s.closing.Load() {
 			continue
 		}
-		if until.IsZero() {
-			until = time.Now().Add(queueMost)
+		if backlogDeadline.IsZero() {
+			backlogDeadline = time.Now().Add(backlogTimeout)
 		}
-		if time.Now().After(until) {
+		if time.Now().After(backlogDeadline) {
 			return nil
 		}
-		_ = s.listener.SetDeadline(time.Now().Add(queueWait))
+		_ = s.listener.SetDeadline(time.Now().Add(backlogIdleTime))
 	}
 }
 
@@ -122,37 +123,38 @@
 	}()
 }
 
-// Connections returns the open connections.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// InFlight returns the requests that were read and have no answer yet.
+// InFlight returns the number of requests that were read and not yet answered.
 func (s *Server) InFlight() int64 {
 	return s.inFlight.Load()
 }
 
-// Drain makes every answer from now on ask its caller to close the connection.
+// Drain adds "Connection: close" to every answer from now on.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 }
 
-// Shutdown answers the requests of all connections that were made, takes no further ones, and
-// closes idle connections. It returns when all are answered or ctx ends. Run must have been called.
+// Shutdown stops accepting connections, closes idle ones, and answers the requests of all connections
+// that were made, including those in the backlog. It returns when all are answered or ctx ends. Run
+// must have been called.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	s.closing.Store(true)
-	_ = s.listener.SetDeadline(time.Unix(1, 0)) // Run looks at closing.
+	_ = s.listener.SetDeadline(time.Unix(1, 0)) // Interrupts Accept; Run then checks closing.
 	s.mu.Lock()
 	for c := range s.conns {
-		c.wake()
+		c.interruptIdle()
 	}
 	s.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		<-s.accepted
+		<-s.acceptDone
 		_ = s.listener.Close()
 		s.wg.Wait()
 		close(done)
--- a/internal/callers/watch.go
+++ b/internal/callers/watch.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// watch reads ahead on a caller's connection while its request is served, to learn that
-// the caller has left. What it reads stays buffered for the next request.
-type watch struct {
+// disconnectWatcher reads ahead on a caller's connection while its request is served, to detect that
+// the caller has disconnected. What it reads stays buffered for the next request.
+type disconnectWatcher struct {
 	conn *conn
 	done chan struct{}
 }
 
-func (c *conn) watch(gone context.CancelFunc) *watch {
-	w := &watch{conn: c, done: make(chan struct{})}
+func (c *conn) watchDisconnect(cancel context.CancelFunc) *disconnectWatcher {
+	w := &disconnectWatcher{conn: c, done: make(chan struct{})}
 	_ = c.nc.SetReadDeadline(time.Time{})
-	go w.run(gone)
+	go w.run(cancel)
 	return w
 }
 
-func (w *watch) run(gone context.CancelFunc) {
+func (w *disconnectWatcher) run(cancel context.CancelFunc) {
 	defer close(w.done)
 	br := w.conn.br
 	for br.Buffered() < br.Size() {
 		if _, err := br.Peek(br.Buffered() + 1); err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
-				gone()
+				cancel()
 			}
 			return
 		}
 	}
 }
 
-// end stops the watch.
-func (w *watch) end() {
+// stop ends the read-ahead and waits for it to return.
+func (w *disconnectWatcher) stop() {
 	_ = w.conn.nc.SetReadDeadline(time.Unix(1, 0))
 	<-w.done
 }
