--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -16,38 +16,38 @@
 const (
 	// readBufferBytes bounds the head of an answer.
 	readBufferBytes = 8 << 10
-	// writeBufferBytes holds a usual request, so that it leaves in one write.
+	// writeBufferBytes holds a typical request, so that it is sent in one write.
 	writeBufferBytes = 4 << 10
-	// keepAliveIdle and keepAliveInterval end a connection whose other side is silent: after
-	// keepAliveIdle + keepAliveCount*keepAliveInterval, within the 2 s in which changes must be in force.
+	// A connection whose peer is unreachable is closed after keepAliveIdle +
+	// keepAliveCount*keepAliveInterval, within the 2 s in which changes must be active.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second / 2
 	keepAliveCount    = 2
-	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which the syscall package does not name.
+	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which the syscall package does not define.
 	tcpUserTimeout = 0x12
 )
 
 // Errors of an exchange.
 var (
-	// ErrUnsolicitedData is returned when bytes that belong to no request wait on a connection.
+	// ErrUnsolicitedData is returned when an idle connection has data that answers no request.
 	ErrUnsolicitedData = errors.New("the connection holds bytes that belong to no request")
-	// ErrTimedOut is returned when the deadline passed before an answer was whole.
+	// ErrTimedOut is returned when the deadline passed before an answer was complete.
 	ErrTimedOut = errors.New("no whole answer before the deadline")
-	// ErrClosed is returned when the other side has closed an idle connection.
+	// ErrClosed is returned when the peer has closed an idle connection.
 	ErrClosed = errors.New("the connection was closed while idle")
 )
 
-// Conn is a connection on which one request is exchanged at a time. It is not safe for
-// concurrent use, but for Close.
+// Conn is a client connection that carries one request at a time. Only Close is safe for concurrent
+// use.
 type Conn struct {
-	conn  net.Conn
-	meter *meter
-	br    *bufio.Reader
-	bw    *bufio.Writer
+	conn    net.Conn
+	limiter *readLimiter
+	br      *bufio.Reader
+	bw      *bufio.Writer
 }
 
-// Dial connects to an IP number and port. unacked bounds the time that sent bytes may stay
-// without an acknowledgement before the connection ends.
+// Dial connects to an IP number and port. The connection is closed when sent bytes stay
+// unacknowledged for longer than unacked.
 func Dial(addr string, timeout, unacked time.Duration) (*Conn, error) {
 	dialer := net.Dialer{
 		Timeout: timeout,
@@ -69,17 +69,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", addr, err)
 	}
-	m := &meter{Conn: conn}
+	limiter := &readLimiter{Conn: conn}
 	return &Conn{
-		conn:  conn,
-		meter: m,
-		br:    bufio.NewReaderSize(m, readBufferBytes),
-		bw:    bufio.NewWriterSize(conn, writeBufferBytes),
+		conn:    conn,
+		limiter: limiter,
+		br:      bufio.NewReaderSize(limiter, readBufferBytes),
+		bw:      bufio.NewWriterSize(conn, writeBufferBytes),
 	}, nil
 }
 
-// CheckIdle returns an error when the connection can take no request: it was closed, or
-// bytes wait on it that answer nothing.
+// CheckIdle returns an error if the connection cannot be reused: ErrClosed or ErrUnsolicitedData.
 func (c *Conn) CheckIdle() error {
 	if c.br.Buffered() > 0 {
 		return ErrUnsolicitedData
@@ -94,8 +93,9 @@
 	}
 }
 
-// SetKeepAlive sets whether the connection ends when its other side is silent, as is right while
-// it is idle or watched. A request under way may outlast a cut of the network.
+// SetKeepAlive sets whether TCP keep-alive closes the connection when its peer is unreachable. It is on
+// while the connection is idle or carries a watch, and off for other requests, which may outlast a
+// network partition.
 func (c *Conn) SetKeepAlive(on bool) error {
 	tcp, ok := c.conn.(*net.TCPConn)
 	if !ok {
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// Send writes a request. sent tells whether any byte of it may have left.
+// Send writes a request. sent reports whether any byte of it may have been sent. deadline also applies
+// to reading the answer.
 func (c *Conn) Send(req *fasthttp.Request, deadline time.Time) (sent bool, err error) {
 	if err := c.conn.SetDeadline(deadline); err != nil {
 		return false, fmt.Errorf("set the deadline of a connection: %w", err)
@@ -121,12 +122,12 @@
 	return true, nil
 }
 
-// FullyRead tells whether nothing is left to read after an answer.
+// FullyRead reports whether no received data is left in the buffer after an answer.
 func (c *Conn) FullyRead() bool {
 	return c.br.Buffered() == 0
 }
 
-// Close closes the connection and ends a Send or Receive under way.
+// Close closes the connection and aborts a running Send or Receive.
 func (c *Conn) Close() error {
 	return c.conn.Close()
 }
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A cut of the network that heals in time must not end a request under way; an idle
-// connection whose other side is silent must end by itself.
-func TestSilenceEndsOnlyIdleConnections(t *testing.T) {
+// A network partition that heals within unacked must not end a running request; an idle connection
+// whose peer is unreachable must be closed by keep-alive.
+func TestUnreachablePeerClosesOnlyIdleConnections(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -33,14 +33,14 @@
 		return value
 	}
 	if got := option(syscall.IPPROTO_TCP, tcpUserTimeout); got != int(unacked.Milliseconds()) {
-		t.Errorf("sent bytes may stay unacknowledged for %d ms", got)
+		t.Errorf("TCP_USER_TIMEOUT is %d ms", got)
 	}
 	for _, on := range []bool{false, true} {
 		if err := c.SetKeepAlive(on); err != nil {
 			t.Fatal(err)
 		}
 		if got := option(syscall.SOL_SOCKET, syscall.SO_KEEPALIVE); (got != 0) != on {
-			t.Errorf("probed %v: option %d", on, got)
+			t.Errorf("keep-alive %v: SO_KEEPALIVE %d", on, got)
 		}
 	}
 }
