--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange holds a caller's request and its answer as they pass between the
-// entry, the claims, the relays and the dispatcher of an instance, and between instances.
+// Package exchange defines the request and answer types that pass between the entry, the claims, the
+// relays and the dispatcher of an instance, and between instances.
 //
-// Both own their bytes: nothing in them points into a buffer of the HTTP libraries.
+// Both types own their bytes: nothing in them points into a buffer of the HTTP libraries.
 package exchange
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-// Header is one header field. Order and repeats are kept.
+// Header is one header field. Lists of them keep the order and repeated fields.
 type Header struct {
 	Name  string `cbor:"1,keyasint"`
 	Value string `cbor:"2,keyasint"`
@@ -22,18 +22,19 @@
 	Service     fleet.Service `cbor:"1,keyasint"`
 	Account     fleet.Account `cbor:"2,keyasint"`
 	Method      string        `cbor:"3,keyasint"`
-	URI         string        `cbor:"4,keyasint"` // Path and query as the caller sent them.
+	URI         string        `cbor:"4,keyasint"` // Path and query, unchanged from the caller's request.
 	Headers     []Header      `cbor:"5,keyasint,omitempty"`
 	Body        []byte        `cbor:"6,keyasint,omitempty"`
 	Idempotent  bool          `cbor:"7,keyasint"`
-	Key         string        `cbor:"8,keyasint,omitempty"` // Idempotency-Key as sent; empty without one.
-	TraceParent string        `cbor:"9,keyasint,omitempty"` // W3C trace context of the hop before.
-	// Remaining is the time left at sending; each hop turns it into Deadline by its own clock.
+	Key         string        `cbor:"8,keyasint,omitempty"` // Idempotency-Key header, unchanged; empty if there is none.
+	TraceParent string        `cbor:"9,keyasint,omitempty"` // W3C trace context of the previous hop.
+	// Remaining is the time until the deadline when the request was sent to another instance. The
+	// receiver sets Deadline from it by its own clock.
 	Remaining time.Duration `cbor:"10,keyasint"`
 	Deadline  time.Time     `cbor:"-"`
 }
 
-// Answer is what the caller receives.
+// Answer is the answer that the caller receives.
 type Answer struct {
 	Status    int              `cbor:"1,keyasint"`
 	Headers   []Header         `cbor:"2,keyasint,omitempty"`
@@ -42,8 +43,8 @@
 	Execution result.Execution `cbor:"5,keyasint"`
 }
 
-// Rejection returns the answer for a code of the table, with the code's own status and execution.
-// The body is one line of text that ends with detail.
+// Rejection returns the answer for a result code, with the status and execution from the table of
+// codes. The body is one line of text that ends with detail.
 func Rejection(code result.Code, detail string) Answer {
 	entry, ok := result.Lookup(code)
 	if !ok {
@@ -62,8 +63,8 @@
 	}
 }
 
-// AttemptRejection returns the answer that refuses one attempt of a keyed request before its claim.
-// It says nothing of other attempts with the key: an execution "not-run" becomes "unknown".
+// AttemptRejection returns the answer that rejects one attempt of a keyed request before its claim. Other
+// attempts with the key may have run, so an execution of "not-run" becomes "unknown".
 func AttemptRejection(code result.Code, detail string) Answer {
 	a := Rejection(code, detail)
 	if a.Execution == result.NotRun {
@@ -72,8 +73,8 @@
 	return a
 }
 
-// RejectAttempt returns the answer that refuses the request before it was claimed or sent: an
-// AttemptRefusal when it carries an idempotency key that counts, a Refusal otherwise.
+// RejectAttempt returns the answer that rejects the request before it was claimed or sent: an
+// AttemptRejection if it has an idempotency key and is not idempotent anyway, a Rejection otherwise.
 func (r Request) RejectAttempt(code result.Code, detail string) Answer {
 	if r.Key != "" && !r.Idempotent {
 		return AttemptRejection(code, detail)
--- a/internal/exchange/headers.go
+++ b/internal/exchange/headers.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// hopByHop lists, in lower case, the headers that end at each hop.
+// hopByHop lists the hop-by-hop headers in lower case.
 var hopByHop = map[string]bool{
 	"connection":          true,
 	"keep-alive":          true,
@@ -15,16 +15,16 @@
 	"upgrade":             true,
 }
 
-// IsHopByHop reports whether a header, named in lower case, ends at each hop.
+// IsHopByHop reports whether a header, given in lower case, is a hop-by-hop header.
 func IsHopByHop(name string) bool {
 	return hopByHop[name]
 }
 
-// ConnectionOptions is the set of headers, in lower case, that Connection headers name
-// as ending at this hop. The zero value is empty.
+// ConnectionOptions is the set of header names, in lower case, that Connection headers list as
+// hop-by-hop. The zero value is empty.
 type ConnectionOptions map[string]bool
 
-// Add takes the value of one Connection header.
+// Add adds the names in the value of a Connection header.
 func (n *ConnectionOptions) Add(value string) {
 	for name := range strings.SplitSeq(value, ",") {
 		name = strings.ToLower(strings.TrimSpace(name))
--- a/internal/storecall/storecall.go
+++ b/internal/storecall/storecall.go
@@ -1,6 +1,6 @@
-// Package storecall reaches the platform's store on behalf of a duty: each call is
-// counted under the duty's name, and each instance keeps to a budget of calls that
-// falls as the fleet grows.
+// Package storecall wraps calls to the platform's store: it counts the calls of each component, keeps
+// each instance within a token bucket whose rate falls as the fleet grows, and records whether the
+// store is reachable.
 package storecall
 
 import (
@@ -13,36 +13,36 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// Calls counts the calls of the store by duty, and "refused" those over the budget.
+// Calls counts the calls to the store by component, and under "refused" those that were over the budget.
 // It is published as "store_calls".
 var Calls = expvar.NewMap("store_calls")
 
-// Bounds of a Budget.
+// Parameters of a Budget.
 const (
-	// FleetCallsPerSecond is the rate that the instances of a fleet share.
+	// FleetCallsPerSecond is the rate that is divided among the instances of a fleet.
 	FleetCallsPerSecond = 200.0
-	// MinCallsPerSecond is what an instance may use in a fleet of any size.
+	// MinCallsPerSecond is the lowest rate of an instance, whatever the size of the fleet.
 	MinCallsPerSecond = 0.2
-	// BurstSeconds is the time of which an instance may use the rate at once.
+	// BurstSeconds is the burst of an instance, in seconds of its rate.
 	BurstSeconds = 30.0
-	// MinBurst is the burst of an instance in a fleet of any size: enough to read a
-	// whole configuration once.
+	// MinBurst is the smallest burst of an instance, in calls: enough to read a complete
+	// configuration once.
 	MinBurst = 100.0
 )
 
-// ErrOverBudget says that a call was over the instance's budget and was not made.
+// ErrOverBudget is returned when a call was not made because the instance's budget is exhausted.
 var ErrOverBudget = errors.New("over the budget of store calls")
 
-// Budget bounds the store calls of one instance. It is safe for concurrent use.
+// Budget is the token bucket for the store calls of one instance. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
-	rate   float64 // Calls a second.
+	rate   float64 // Calls per second.
 	tokens float64
 	last   time.Time
 	now    func() time.Time
 }
 
-// NewBudget returns a budget for a fleet of one instance. now tells the time.
+// NewBudget returns a full budget for a fleet of one instance. now is the clock.
 func NewBudget(now func() time.Time) *Budget {
 	b := &Budget{now: now, last: now()}
 	b.SetFleetSize(1)
@@ -57,7 +57,7 @@
 	b.rate = max(FleetCallsPerSecond/float64(max(instances, 1)), MinCallsPerSecond)
 }
 
-// Rate returns the calls a second that the instance may make.
+// Rate returns the instance's rate in calls per second.
 func (b *Budget) Rate() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,8 +68,8 @@
 	return max(b.rate*BurstSeconds, MinBurst)
 }
 
-// take reports whether a call may be made now, and counts it against the budget.
-func (b *Budget) take() bool {
+// allow reports whether a call may be made now, and takes a token if so.
+func (b *Budget) allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -82,28 +82,28 @@
 	return true
 }
 
-// Store counts the calls of one duty and keeps them within a budget.
+// Store counts the calls of one component and rejects those over the budget.
 type Store struct {
-	store  metastore.Store
-	duty   string
-	budget *Budget
+	store     metastore.Store
+	component string
+	budget    *Budget
 }
 
-// New returns a store for one duty. A nil budget does not bound it.
-func New(store metastore.Store, duty string, budget *Budget) *Store {
-	return &Store{store: store, duty: duty, budget: budget}
+// New returns the store of one component. A nil budget means no limit.
+func New(store metastore.Store, component string, budget *Budget) *Store {
+	return &Store{store: store, component: component, budget: budget}
 }
 
 func (s *Store) admit() error {
-	if s.budget != nil && !s.budget.take() {
+	if s.budget != nil && !s.budget.allow() {
 		Calls.Add("refused", 1)
 		return ErrOverBudget
 	}
-	Calls.Add(s.duty, 1)
+	Calls.Add(s.component, 1)
 	return nil
 }
 
-// Get is metastore.Store.Get.
+// Get implements metastore.Store.
 func (s *Store) Get(ctx context.Context, key string) (metastore.Value, error) {
 	if err := s.admit(); err != nil {
 		return metastore.Value{}, err
@@ -111,7 +111,7 @@
 	return s.store.Get(ctx, key)
 }
 
-// CompareAndSwap is metastore.Store.CompareAndSwap.
+// CompareAndSwap implements metastore.Store.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, expected metastore.Version, data []byte, lease metastore.LeaseID) (metastore.Version, error) {
 	if err := s.admit(); err != nil {
 		return 0, err
@@ -119,7 +119,7 @@
 	return s.store.CompareAndSwap(ctx, key, expected, data, lease)
 }
 
-// Watch is metastore.Store.Watch.
+// Watch implements metastore.Store.
 func (s *Store) Watch(ctx context.Context, key string, after metastore.Version) (metastore.Value, error) {
 	if err := s.admit(); err != nil {
 		return metastore.Value{}, err
@@ -127,7 +127,7 @@
 	return s.store.Watch(ctx, key, after)
 }
 
-// GrantLease is metastore.Store.GrantLease.
+// GrantLease implements metastore.Store.
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (metastore.LeaseID, error) {
 	if err := s.admit(); err != nil {
 		return 0, err
@@ -135,7 +135,7 @@
 	return s.store.GrantLease(ctx, ttl)
 }
 
-// KeepAlive is metastore.Store.KeepAlive.
+// KeepAlive implements metastore.Store.
 func (s *Store) KeepAlive(ctx context.Context, lease metastore.LeaseID) error {
 	if err := s.admit(); err != nil {
 		return err
--- a/internal/storecall/storecall_test.go
+++ b/internal/storecall/storecall_test.go
@@ -9,7 +9,7 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/standin"
 )
 
-func TestBudgetFallsWithTheFleetAndRefills(t *testing.T) {
+func TestBudgetShrinksWithFleetSizeAndRefills(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(func() time.Time { return now })
 	last := b.Rate()
