--- a/internal/upstream/admin.go
+++ b/internal/upstream/admin.go
@@ -12,25 +12,25 @@
 
 // Paths of AdminHandler.
 const (
-	PathEndpoints    = "/admin/endpoints" // GET: the Stats of each endpoint.
+	PathEndpoints    = "/admin/endpoints" // GET: list of the endpoints' Stats.
 	PathSummary      = "/admin/summary"   // GET: Summary.
 	PathRecord       = "/admin/record"    // GET: the Record of the request ID in ParamID.
 	PathFaults       = "/admin/faults"    // GET and PUT: Faults of the endpoint in ParamEndpoint.
-	PathConnectivity = "/admin/reach"     // POST: the reach of ParamEndpoint from the address in ParamFrom becomes ParamReach.
-	PathDrain        = "/admin/leave"     // POST: the endpoint in ParamEndpoint drains.
+	PathConnectivity = "/admin/reach"     // POST: sets the connectivity of ParamEndpoint from the address in ParamFrom to ParamConnectivity.
+	PathDrain        = "/admin/leave"     // POST: starts draining the endpoint in ParamEndpoint.
 )
 
-// Parameters of AdminHandler.
+// Query parameters of AdminHandler.
 const (
 	ParamEndpoint     = "endpoint"
 	ParamID           = "id"
 	ParamFrom         = "from"  // IP number of a caller.
-	ParamConnectivity = "reach" // As ParseReach takes it.
+	ParamConnectivity = "reach" // A name that ParseConnectivity accepts.
 )
 
 const maxAdminBytes = 1 << 20
 
-// AdminHandler returns the handler that switches the faults of a host's endpoints and tells its counts.
+// AdminHandler returns the handler that changes the faults of a host's endpoints and serves its counts.
 func AdminHandler(h *Host) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathEndpoints, func(w http.ResponseWriter, _ *http.Request) {
@@ -51,7 +51,7 @@
 	})
 	mux.HandleFunc("GET "+PathFaults, onEndpoint(h, func(w http.ResponseWriter, _ *http.Request, e *Endpoint) { writeJSON(w, e.Faults()) }))
 	mux.HandleFunc("PUT "+PathFaults, onEndpoint(h, putFaults))
-	mux.HandleFunc("POST "+PathConnectivity, onEndpoint(h, postReach))
+	mux.HandleFunc("POST "+PathConnectivity, onEndpoint(h, postConnectivity))
 	mux.HandleFunc("POST "+PathDrain, onEndpoint(h, func(w http.ResponseWriter, _ *http.Request, e *Endpoint) {
 		e.Drain()
 		w.WriteHeader(http.StatusNoContent)
@@ -71,18 +71,18 @@
 	}
 }
 
-func postReach(w http.ResponseWriter, r *http.Request, e *Endpoint) {
+func postConnectivity(w http.ResponseWriter, r *http.Request, e *Endpoint) {
 	from, err := netip.ParseAddr(r.URL.Query().Get(ParamFrom))
 	if err != nil {
 		http.Error(w, fmt.Sprintf("from: %v", err), http.StatusBadRequest)
 		return
 	}
-	reach, err := ParseConnectivity(r.URL.Query().Get(ParamConnectivity))
+	connectivity, err := ParseConnectivity(r.URL.Query().Get(ParamConnectivity))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.SetConnectivityFrom(from, reach)
+	e.SetConnectivityFrom(from, connectivity)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -5,19 +5,19 @@
 	"strconv"
 )
 
-// garbage is an answer that is no HTTP.
+// garbage is an answer that is not HTTP.
 const garbage = "\x00\x17HTP/9 what\r\n\r\n\xff\xfe"
 
-// answer sends the answer of a job that ran.
-func (e *Endpoint) answer(w http.ResponseWriter, r *http.Request, j job, run int, end ending) {
-	switch end {
-	case endSilent:
+// answer sends the answer of a job that ran, damaged as fault says.
+func (e *Endpoint) answer(w http.ResponseWriter, r *http.Request, j job, startNumber int, fault faultKind) {
+	switch fault {
+	case faultNoAnswer:
 		panic(http.ErrAbortHandler)
-	case endGarbage:
-		sendGarbage(w)
+	case faultGarbage:
+		writeGarbage(w)
 		return
 	}
-	body, err := e.answerBody(r, j, run)
+	body, err := e.answerBody(r, j, startNumber)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -30,17 +30,17 @@
 		header.Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	status := j.status
-	if end == endFailed {
+	if fault == faultFail {
 		status = http.StatusInternalServerError
 	}
 	w.WriteHeader(status)
-	if end == endCutOff {
-		cutOff(w, body)
+	if fault == faultTruncate {
+		truncateBody(w, body)
 	}
 	writeBody(w, body, j.chunked)
 }
 
-// setHeaders sets what each answer says of the endpoint.
+// setHeaders sets the headers that describe the endpoint.
 func (e *Endpoint) setHeaders(w http.ResponseWriter, f Faults) {
 	header := w.Header()
 	header.Set(HeaderEndpoint, string(e.addr))
@@ -50,8 +50,8 @@
 	}
 }
 
-// cutOff sends half of the body and closes the connection.
-func cutOff(w http.ResponseWriter, body []byte) {
+// truncateBody sends half of the body and closes the connection.
+func truncateBody(w http.ResponseWriter, body []byte) {
 	_, _ = w.Write(body[:len(body)/2])
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
@@ -68,7 +68,7 @@
 	_, _ = w.Write(body[half:])
 }
 
-func sendGarbage(w http.ResponseWriter) {
+func writeGarbage(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/internal/upstream/audit.go
+++ b/internal/upstream/audit.go
@@ -2,73 +2,73 @@
 
 import "sort"
 
-// Outcome is what a caller was told of its request.
+// Outcome is the result of a request as its caller received it.
 type Outcome uint8
 
-// What a caller may have been told.
+// Values of Outcome.
 const (
-	OutcomeNone     Outcome = iota // No answer, and no code: a broken promise by itself.
+	OutcomeNone     Outcome = iota // Neither an answer nor a result code, which is a violation by itself.
 	OutcomeAnswered                // An upstream's answer.
-	OutcomeNotRun                  // It did not run and will not.
-	OutcomeUnknown                 // It may have run.
+	OutcomeNotRun                  // A result code that says it did not run and will not.
+	OutcomeUnknown                 // A result code that says it may have run.
 )
 
-// CallerResult is one request as its caller saw it, after its last attempt.
+// CallerResult is the result of one request as its caller received it, after its last attempt.
 type CallerResult struct {
 	ID            string
 	NonIdempotent bool // The request is not idempotent.
 	Outcome       Outcome
 }
 
-// Audit is the comparison of what callers were told with what endpoints recorded.
+// Audit is the comparison of callers' results with the endpoints' records.
 type Audit struct {
 	Requests    int      `json:"requests"`
 	Answered    int      `json:"answered"`
 	NotRun      int      `json:"not_run"`
 	Unknown     int      `json:"unknown"`
-	Lost        int      `json:"lost"`          // Told nothing, or told answered while nothing ran.
-	Duplicated  int      `json:"doubled"`       // Orders that started more than once.
-	FalseNotRun int      `json:"false_not_run"` // Told not run, and started.
-	Violations  []string `json:"broken"`        // IDs of the last three, sorted.
+	Lost        int      `json:"lost"`          // OutcomeNone, or OutcomeAnswered without a start.
+	Duplicated  int      `json:"doubled"`       // Non-idempotent requests that started more than once.
+	FalseNotRun int      `json:"false_not_run"` // OutcomeNotRun, but started.
+	Violations  []string `json:"broken"`        // IDs of lost, duplicated and falsely not-run requests, sorted.
 }
 
-// Audit compares beliefs with the records. It must be called when no request is under
-// way any more. Lookups are judged by what they were told alone, unless lookups are recorded.
-func (r *Recorder) Audit(beliefs []CallerResult) Audit {
-	a := Audit{Requests: len(beliefs), Violations: []string{}}
-	for _, b := range beliefs {
-		a.add(b, r.Starts(b.ID), b.NonIdempotent || r.lookups)
+// Audit compares callers' results with the records. It must be called after all requests have ended.
+// Starts of idempotent requests are compared only if they are recorded.
+func (r *Recorder) Audit(results []CallerResult) Audit {
+	a := Audit{Requests: len(results), Violations: []string{}}
+	for _, result := range results {
+		a.add(result, r.Starts(result.ID), result.NonIdempotent || r.recordIdempotent)
 	}
 	sort.Strings(a.Violations)
 	return a
 }
 
-func (a *Audit) add(b CallerResult, starts int, recorded bool) {
-	broken := false
-	switch b.Outcome {
+func (a *Audit) add(result CallerResult, starts int, recorded bool) {
+	violated := false
+	switch result.Outcome {
 	case OutcomeNone:
 		a.Lost++
-		broken = true
+		violated = true
 	case OutcomeAnswered:
 		a.Answered++
 		if recorded && starts == 0 {
 			a.Lost++
-			broken = true
+			violated = true
 		}
 	case OutcomeNotRun:
 		a.NotRun++
 		if recorded && starts > 0 {
 			a.FalseNotRun++
-			broken = true
+			violated = true
 		}
 	case OutcomeUnknown:
 		a.Unknown++
 	}
-	if b.NonIdempotent && starts > 1 {
+	if result.NonIdempotent && starts > 1 {
 		a.Duplicated++
-		broken = true
+		violated = true
 	}
-	if broken {
-		a.Violations = append(a.Violations, b.ID)
+	if violated {
+		a.Violations = append(a.Violations, result.ID)
 	}
 }
--- a/internal/upstream/audit_test.go
+++ b/internal/upstream/audit_test.go
@@ -8,28 +8,28 @@
 	"pgregory.net/rapid"
 )
 
-func TestDrawKeepsShares(t *testing.T) {
+func TestDrawMatchesShares(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		share := func(name string) float64 { return rapid.Float64Range(0, 0.25).Draw(rt, name) }
 		f := Faults{FailShare: share("fail"), CutOffShare: share("cut"), GarbageShare: share("garbage"), SilentShare: share("silent")}
 		const steps = 2000
-		counts := map[ending]int{}
+		counts := map[faultKind]int{}
 		for i := range steps {
 			counts[f.draw(float64(i)/steps)]++
 		}
-		for end, want := range map[ending]float64{endFailed: f.FailShare, endCutOff: f.CutOffShare, endGarbage: f.GarbageShare, endSilent: f.SilentShare} {
-			if got := float64(counts[end]) / steps; got < want-2.0/steps || got > want+2.0/steps {
-				rt.Fatalf("ending %d: share %v, want %v", end, got, want)
+		for kind, want := range map[faultKind]float64{faultFail: f.FailShare, faultTruncate: f.CutOffShare, faultGarbage: f.GarbageShare, faultNoAnswer: f.SilentShare} {
+			if got := float64(counts[kind]) / steps; got < want-2.0/steps || got > want+2.0/steps {
+				rt.Fatalf("fault %d: share %v, want %v", kind, got, want)
 			}
 		}
 	})
 }
 
-// TestAuditFindsEachBrokenPromise draws what was told and what ran, and counts by the definitions.
-func TestAuditFindsEachBrokenPromise(t *testing.T) {
+// Random outcomes and numbers of starts are counted as Audit's fields are defined.
+func TestAuditCountsViolations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := NewRecorder(true)
-		var beliefs []CallerResult
+		var results []CallerResult
 		want := Audit{}
 		for i := range rapid.IntRange(0, 20).Draw(rt, "requests") {
 			id := fmt.Sprint("r", i)
@@ -38,7 +38,7 @@
 			for range starts {
 				r.started(id, "a", b.NonIdempotent, Start{})
 			}
-			beliefs = append(beliefs, b)
+			results = append(results, b)
 			if b.Outcome == OutcomeNone || (b.Outcome == OutcomeAnswered && starts == 0) {
 				want.Lost++
 			}
@@ -49,8 +49,8 @@
 				want.Duplicated++
 			}
 		}
-		got := r.Audit(beliefs)
-		if got.Lost != want.Lost || got.FalseNotRun != want.FalseNotRun || got.Duplicated != want.Duplicated || got.Requests != len(beliefs) {
+		got := r.Audit(results)
+		if got.Lost != want.Lost || got.FalseNotRun != want.FalseNotRun || got.Duplicated != want.Duplicated || got.Requests != len(results) {
 			rt.Fatalf("audit %+v, want %+v", got, want)
 		}
 		if len(r.Summary().Duplicated) != want.Duplicated {
@@ -59,10 +59,10 @@
 	})
 }
 
-func TestLastGapAfter(t *testing.T) {
+func TestTimeUntilQuiet(t *testing.T) {
 	t0 := time.Now().Add(-time.Hour)
 	e := &Endpoint{starts: []time.Time{t0.Add(-time.Second), t0.Add(time.Second), t0.Add(2 * time.Second), t0.Add(30 * time.Second)}}
-	if gap, ended := e.TimeUntilQuiet(t0, 5*time.Second); gap != 2*time.Second || !ended {
-		t.Fatalf("gap %v, ended %v", gap, ended)
+	if elapsed, quiet := e.TimeUntilQuiet(t0, 5*time.Second); elapsed != 2*time.Second || !quiet {
+		t.Fatalf("gap %v, ended %v", elapsed, quiet)
 	}
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -16,27 +16,27 @@
 
 // Endpoint is one endpoint of a Host. It is safe for concurrent use.
 type Endpoint struct {
-	spec     Spec
-	addr     fleet.Endpoint
-	recorder *Recorder
-	changed  func()
-	gate     *gate
-	listener net.Listener
-	server   *http.Server
-	slots    chan struct{}
-	started  time.Time
-	warm     *time.Timer
-	done     chan struct{}
+	spec      Spec
+	addr      fleet.Endpoint
+	recorder  *Recorder
+	onChange  func()
+	gate      *connGate
+	listener  net.Listener
+	server    *http.Server
+	slots     chan struct{}
+	started   time.Time
+	warmTimer *time.Timer
+	done      chan struct{}
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	faults   Faults
-	faultsAt time.Time
-	leaving  time.Time // Zero while it takes work.
-	waiting  int
-	stats    Stats
-	load     *loadHistory
-	starts   []time.Time
+	mu            sync.Mutex
+	random        *rand.Rand
+	faults        Faults
+	faultsAt      time.Time
+	drainingSince time.Time // Zero while it accepts work.
+	queued        int
+	stats         Stats
+	load          *loadHistory
+	starts        []time.Time
 }
 
 // Stats are the counts of an endpoint.
@@ -44,11 +44,11 @@
 	Endpoint     fleet.Endpoint      `json:"endpoint"`
 	Service      fleet.Service       `json:"service"`
 	State        fleet.UpstreamState `json:"state"`
-	Received     uint64              `json:"received"` // Requests for work.
+	Received     uint64              `json:"received"` // Requests other than health and load probes.
 	Started      uint64              `json:"started"`
 	Finished     uint64              `json:"finished"`
-	Failed       uint64              `json:"failed"`  // Ended by a fault.
-	Refused      uint64              `json:"refused"` // Shed, too late, or leaving.
+	Failed       uint64              `json:"failed"`  // Ran, and answered as a fault demands.
+	Refused      uint64              `json:"refused"` // Not started: malformed, shed, past the deadline, or draining.
 	Cancelled    uint64              `json:"cancelled"`
 	Probes       uint64              `json:"probes"`
 	InFlight     int                 `json:"in_flight"`
@@ -57,7 +57,7 @@
 	LastStart    time.Time           `json:"last_start"`
 }
 
-func newEndpoint(spec Spec, recorder *Recorder, seed uint64, changed func()) (*Endpoint, error) {
+func newEndpoint(spec Spec, recorder *Recorder, seed uint64, onChange func()) (*Endpoint, error) {
 	spec = spec.withDefaults()
 	if err := spec.validate(); err != nil {
 		return nil, err
@@ -71,8 +71,8 @@
 		spec:     spec,
 		addr:     fleet.Endpoint(listener.Addr().String()),
 		recorder: recorder,
-		changed:  changed,
-		gate:     newGate(),
+		onChange: onChange,
+		gate:     newConnGate(),
 		slots:    make(chan struct{}, spec.Slots),
 		started:  now,
 		done:     make(chan struct{}),
@@ -82,7 +82,7 @@
 	e.listener = &gatedListener{Listener: listener, gate: e.gate, connectTime: spec.ConnectTime}
 	e.server = &http.Server{Handler: e, IdleTimeout: spec.IdleTimeout}
 	if spec.ColdStart > 0 {
-		e.warm = time.AfterFunc(spec.ColdStart, changed)
+		e.warmTimer = time.AfterFunc(spec.ColdStart, onChange)
 	}
 	go e.run()
 	return e, nil
@@ -103,7 +103,7 @@
 	return fleet.Upstream{Endpoint: e.addr, Zone: e.spec.Zone, Slots: e.spec.Slots, State: e.State()}
 }
 
-// State returns where the endpoint stands.
+// State returns the endpoint's state: cold, ready or leaving.
 func (e *Endpoint) State() fleet.UpstreamState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,7 +112,7 @@
 
 func (e *Endpoint) stateLocked(now time.Time) fleet.UpstreamState {
 	switch {
-	case !e.leaving.IsZero():
+	case !e.drainingSince.IsZero():
 		return fleet.UpstreamLeaving
 	case now.Sub(e.started) < e.spec.ColdStart:
 		return fleet.UpstreamCold
@@ -140,36 +140,37 @@
 	return e.faults
 }
 
-// SetConnectivity says from where the endpoint can be reached; nil is from everywhere.
-func (e *Endpoint) SetConnectivity(reach ConnectivityFunc) {
-	e.gate.change(func() { e.gate.reach = reach })
+// SetConnectivity sets the connectivity by caller address; nil means ConnectivityNormal for all.
+func (e *Endpoint) SetConnectivity(from ConnectivityFunc) {
+	e.gate.update(func() { e.gate.connectivity = from })
 }
 
-// SetConnectivityFrom sets the reach from one caller's address; it goes before SetReach.
-func (e *Endpoint) SetConnectivityFrom(caller netip.Addr, reach Connectivity) {
-	e.gate.change(func() { e.gate.byAddr[caller.Unmap()] = reach })
+// SetConnectivityFrom sets the connectivity from one caller's address. It takes precedence over
+// SetConnectivity.
+func (e *Endpoint) SetConnectivityFrom(caller netip.Addr, connectivity Connectivity) {
+	e.gate.update(func() { e.gate.overrides[caller.Unmap()] = connectivity })
 }
 
-// Drain starts draining: new work is refused, work under way is finished.
+// Drain starts draining: new work is refused, running work is completed.
 func (e *Endpoint) Drain() {
 	e.mu.Lock()
-	if e.leaving.IsZero() {
-		e.leaving = time.Now()
+	if e.drainingSince.IsZero() {
+		e.drainingSince = time.Now()
 	}
 	e.mu.Unlock()
-	e.changed()
+	e.onChange()
 }
 
 // DrainingSince returns when draining started; zero before.
 func (e *Endpoint) DrainingSince() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.leaving
+	return e.drainingSince
 }
 
 // Stats returns the counts so far.
 func (e *Endpoint) Stats() Stats {
-	connections := e.gate.open()
+	connections := e.gate.connections()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := e.stats
@@ -194,9 +195,9 @@
 	return n
 }
 
-// TimeUntilQuiet returns how long after t the endpoint went on starting work until it
-// started none for quiet, and whether that has happened yet. It measures how long a
-// faulty endpoint keeps receiving work.
+// TimeUntilQuiet returns how long after t the endpoint last started work before a period of quiet
+// without any start, and whether that period has passed yet. It measures how long a faulty endpoint
+// keeps receiving work.
 func (e *Endpoint) TimeUntilQuiet(t time.Time, quiet time.Duration) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -213,17 +214,17 @@
 	return last.Sub(t), time.Since(last) >= quiet
 }
 
-// Close stops the endpoint at once, and cuts off what is under way.
+// Close stops the endpoint immediately and aborts running work.
 func (e *Endpoint) Close() error {
-	if e.warm != nil {
-		e.warm.Stop()
+	if e.warmTimer != nil {
+		e.warmTimer.Stop()
 	}
 	err := e.server.Close()
 	<-e.done
 	return err
 }
 
-// Shutdown waits until what is under way is answered or ctx ends, then stops the endpoint.
+// Shutdown starts draining, waits until running work is answered or ctx ends, and stops the endpoint.
 func (e *Endpoint) Shutdown(ctx context.Context) error {
 	e.Drain()
 	if err := e.server.Shutdown(ctx); err != nil {
@@ -233,7 +234,7 @@
 	return nil
 }
 
-// serviceTime draws the time of one request.
+// serviceTime draws the service time of one request.
 func (e *Endpoint) serviceTime(now time.Time, f Faults) time.Duration {
 	e.mu.Lock()
 	logarithm := e.random.NormFloat64() * e.spec.Spread
@@ -248,7 +249,7 @@
 	return time.Duration(d)
 }
 
-// currentFaults returns the faults that hold now.
+// currentFaults returns the faults that are active now.
 func (e *Endpoint) currentFaults(now time.Time) Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -258,7 +259,7 @@
 	return e.faults
 }
 
-func (e *Endpoint) drawEnding(f Faults) ending {
+func (e *Endpoint) drawFault(f Faults) faultKind {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return f.draw(e.random.Float64())
--- a/internal/upstream/faults.go
+++ b/internal/upstream/faults.go
@@ -7,20 +7,20 @@
 )
 
 // Faults are the gray faults of an endpoint. The zero value has none. Shares are of
-// requests, 0 to 1. Health and load endpoints are not touched by the faults of work.
+// requests, 0 to 1. The faults of work do not affect the health and load probes.
 type Faults struct {
 	SlowFactor   float64       `json:"slow_factor" toml:"slow_factor"`     // Multiplies service times; 0 for 1.
-	FailShare    float64       `json:"fail_share" toml:"fail_share"`       // Answered with status 500 after running.
-	FailFast     bool          `json:"fail_fast" toml:"fail_fast"`         // Failing requests take no time.
-	CutOffShare  float64       `json:"cut_off_share" toml:"cut_off_share"` // Run, answered halfway, then the connection is closed.
-	GarbageShare float64       `json:"garbage_share" toml:"garbage_share"` // Run, answered with bytes that are no HTTP.
+	FailShare    float64       `json:"fail_share" toml:"fail_share"`       // Run, then answered with status 500.
+	FailFast     bool          `json:"fail_fast" toml:"fail_fast"`         // Requests that fail take no time.
+	CutOffShare  float64       `json:"cut_off_share" toml:"cut_off_share"` // Run, then the connection is closed after half of the answer.
+	GarbageShare float64       `json:"garbage_share" toml:"garbage_share"` // Run, then answered with bytes that are not HTTP.
 	SilentShare  float64       `json:"silent_share" toml:"silent_share"`   // Run, then the connection is closed without an answer.
-	FlapPeriod   time.Duration `json:"flap_period" toml:"flap_period"`     // The faults hold in the first half of each period; 0 for always. Nanoseconds in JSON.
-	Health       string        `json:"health" toml:"health"`               // What the health endpoint claims: "", "up" or "down".
-	Load         *float64      `json:"load" toml:"load"`                   // What the load endpoint and header claim; nil for the truth.
+	FlapPeriod   time.Duration `json:"flap_period" toml:"flap_period"`     // The faults are active in the first half of each period; 0 for always. Nanoseconds in JSON.
+	Health       string        `json:"health" toml:"health"`               // What the health probe reports: "" for the truth, "up" or "down".
+	Load         *float64      `json:"load" toml:"load"`                   // What the load probe and header report; nil for the truth.
 }
 
-// Claims of Faults.Health.
+// Values of Faults.Health.
 const (
 	HealthTrue = ""
 	HealthUp   = "up"
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// active reports whether the faults hold now, given when they were set.
+// active reports whether the faults are active now. since is when they were set.
 func (f Faults) active(now, since time.Time) bool {
 	if f.FlapPeriod == 0 {
 		return true
@@ -52,53 +52,53 @@
 	return now.Sub(since)%f.FlapPeriod < f.FlapPeriod/2
 }
 
-// ending is how a request that ran is answered.
-type ending uint8
+// faultKind is the fault in the answer to a request that ran.
+type faultKind uint8
 
 const (
-	endWhole ending = iota
-	endFailed
-	endCutOff
-	endGarbage
-	endSilent
+	faultNone faultKind = iota
+	faultFail
+	faultTruncate
+	faultGarbage
+	faultNoAnswer
 )
 
-// draw chooses an ending with u, uniform in [0, 1).
-func (f Faults) draw(u float64) ending {
+// draw chooses a faultKind according to the shares. u is uniform in [0, 1).
+func (f Faults) draw(u float64) faultKind {
 	for _, choice := range []struct {
 		share float64
-		end   ending
-	}{{f.FailShare, endFailed}, {f.CutOffShare, endCutOff}, {f.GarbageShare, endGarbage}, {f.SilentShare, endSilent}} {
+		kind  faultKind
+	}{{f.FailShare, faultFail}, {f.CutOffShare, faultTruncate}, {f.GarbageShare, faultGarbage}, {f.SilentShare, faultNoAnswer}} {
 		if u < choice.share {
-			return choice.end
+			return choice.kind
 		}
 		u -= choice.share
 	}
-	return endWhole
+	return faultNone
 }
 
-// Connectivity says how far an endpoint can be reached from a caller's address.
+// Connectivity is the state of the network between a caller's address and an endpoint.
 type Connectivity uint8
 
-// Kinds of reach.
+// Kinds of Connectivity.
 const (
 	ConnectivityNormal    Connectivity = iota
-	ConnectivityClosed                 // Connections are closed at once, also those that were open.
-	ConnectivityBlackhole              // Connections are taken, and nothing that is sent arrives.
-	ConnectivityNoReplies              // Requests arrive and run, and no byte of an answer comes back.
+	ConnectivityClosed                 // Connections are closed immediately, including open ones.
+	ConnectivityBlackhole              // Connections are accepted, but no data from the caller arrives.
+	ConnectivityNoReplies              // Requests arrive and run, but no byte of an answer is sent.
 )
 
-// reachNames are the words for each kind of reach.
-var reachNames = map[string]Connectivity{"open": ConnectivityNormal, "close": ConnectivityClosed, "none": ConnectivityBlackhole, "mute": ConnectivityNoReplies}
+// connectivityByName maps the names of ParseConnectivity.
+var connectivityByName = map[string]Connectivity{"open": ConnectivityNormal, "close": ConnectivityClosed, "none": ConnectivityBlackhole, "mute": ConnectivityNoReplies}
 
-// ParseConnectivity returns the reach that a word names: "open", "close", "none" or "mute".
-func ParseConnectivity(word string) (Connectivity, error) {
-	reach, ok := reachNames[word]
+// ParseConnectivity returns the Connectivity with a name: "open", "close", "none" or "mute".
+func ParseConnectivity(name string) (Connectivity, error) {
+	connectivity, ok := connectivityByName[name]
 	if !ok {
-		return 0, fmt.Errorf(`reach %q is none of "open", "close", "none", "mute"`, word)
+		return 0, fmt.Errorf(`reach %q is none of "open", "close", "none", "mute"`, name)
 	}
-	return reach, nil
+	return connectivity, nil
 }
 
-// ConnectivityFunc tells the reach from a caller's address. It must be safe for concurrent use.
+// ConnectivityFunc returns the connectivity from a caller's address. It must be safe for concurrent use.
 type ConnectivityFunc func(caller netip.Addr) Connectivity
--- a/internal/upstream/host.go
+++ b/internal/upstream/host.go
@@ -8,12 +8,12 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// HostOptions are the parameters of a Host.
+// HostOptions configure a Host.
 type HostOptions struct {
 	Seed             uint64
-	RecordIdempotent bool // Records idempotent requests too; costs memory for each.
-	// OnChange is told after an endpoint was added, became warm, started to leave or was
-	// removed. It may read Host.Upstreams; it may be nil.
+	RecordIdempotent bool // Records idempotent requests too, at a cost in memory for each.
+	// OnChange, if not nil, is called after an endpoint was added, became warm, started draining
+	// or was removed. It may call Host.Upstreams.
 	OnChange func(h *Host)
 }
 
@@ -48,7 +48,7 @@
 	h.added++
 	seed := h.options.Seed<<16 + h.added
 	h.mu.Unlock()
-	e, err := newEndpoint(spec, h.recorder, seed, h.changed)
+	e, err := newEndpoint(spec, h.recorder, seed, h.notifyChange)
 	if err != nil {
 		return nil, err
 	}
@@ -56,11 +56,11 @@
 	h.endpoints[e.Addr()] = e
 	h.order = append(h.order, e.Addr())
 	h.mu.Unlock()
-	h.changed()
+	h.notifyChange()
 	return e, nil
 }
 
-// Remove closes an endpoint at once and takes it off the host.
+// Remove closes an endpoint immediately and removes it from the host.
 func (h *Host) Remove(addr fleet.Endpoint) error {
 	h.mu.Lock()
 	e, ok := h.endpoints[addr]
@@ -70,7 +70,7 @@
 		return fmt.Errorf("endpoint %s is not on this host", addr)
 	}
 	err := e.Close()
-	h.changed()
+	h.notifyChange()
 	return err
 }
 
@@ -115,7 +115,7 @@
 	return out
 }
 
-// Close stops every endpoint at once.
+// Close stops every endpoint immediately.
 func (h *Host) Close() error {
 	var errs []error
 	for _, e := range h.Endpoints() {
@@ -124,7 +124,7 @@
 	return errors.Join(errs...)
 }
 
-func (h *Host) changed() {
+func (h *Host) notifyChange() {
 	if h.options.OnChange != nil {
 		h.options.OnChange(h)
 	}
--- a/internal/upstream/job.go
+++ b/internal/upstream/job.go
@@ -12,26 +12,26 @@
 	"github.com/damaskcove/damaskcove/client"
 )
 
-// Query parameters of work, for tests of bodies and answers.
+// Query parameters of requests for work, for tests of bodies and answers.
 const (
-	ParamSize    = "size"    // Bytes to add to the answer.
-	ParamChunked = "chunked" // "1": the answer is sent in chunks, without a length.
+	ParamSize    = "size"    // Bytes of padding in the answer.
+	ParamChunked = "chunked" // "1": the answer is chunked, without a length.
 	ParamStatus  = "status"  // Status of the answer.
-	ParamTime    = "time_ms" // Service time in place of the distribution's.
+	ParamTime    = "time_ms" // Service time in milliseconds, instead of a random one.
 )
 
 // job is one request for work.
 type job struct {
-	id       string
-	account  string
-	order    bool
-	body     []byte
-	deadline time.Time // Zero without one.
-	faults   Faults
-	size     int
-	chunked  bool
-	status   int
-	time     time.Duration // Negative for the distribution's.
+	id            string
+	account       string
+	nonIdempotent bool
+	body          []byte
+	deadline      time.Time // Zero without one.
+	faults        Faults
+	size          int
+	chunked       bool
+	status        int
+	time          time.Duration // Service time; negative for a random one.
 }
 
 func (e *Endpoint) readJob(r *http.Request) (job, error) {
@@ -44,19 +44,19 @@
 		return job{}, fmt.Errorf("body is over %d bytes", MaxBodyBytes)
 	}
 	j := job{
-		id:      r.Header.Get(HeaderRequestID),
-		account: r.Header.Get(client.HeaderAccount),
-		order:   e.isOrder(r),
-		body:    body,
-		faults:  e.currentFaults(now),
-		status:  http.StatusOK,
-		time:    -1,
+		id:            r.Header.Get(HeaderRequestID),
+		account:       r.Header.Get(client.HeaderAccount),
+		nonIdempotent: e.isNonIdempotent(r),
+		body:          body,
+		faults:        e.currentFaults(now),
+		status:        http.StatusOK,
+		time:          -1,
 	}
 	return j, j.readParameters(r, now)
 }
 
 func (j *job) readParameters(r *http.Request, now time.Time) error {
-	deadline, err := readNumber(HeaderDeadline, r.Header.Get(HeaderDeadline), int64(time.Hour/time.Millisecond))
+	deadline, err := parseNumber(HeaderDeadline, r.Header.Get(HeaderDeadline), int64(time.Hour/time.Millisecond))
 	if err != nil {
 		return err
 	}
@@ -64,21 +64,21 @@
 		j.deadline = now.Add(time.Duration(deadline) * time.Millisecond)
 	}
 	query := r.URL.Query()
-	size, err := readNumber(ParamSize, query.Get(ParamSize), MaxBodyBytes)
+	size, err := parseNumber(ParamSize, query.Get(ParamSize), MaxBodyBytes)
 	if err != nil {
 		return err
 	}
 	j.size = int(size)
 	j.chunked = query.Get(ParamChunked) == "1"
 	if query.Has(ParamStatus) {
-		status, err := readNumber(ParamStatus, query.Get(ParamStatus), 599)
+		status, err := parseNumber(ParamStatus, query.Get(ParamStatus), 599)
 		if err != nil || status < 200 {
 			return fmt.Errorf("%s %q is outside 200 to 599", ParamStatus, query.Get(ParamStatus))
 		}
 		j.status = int(status)
 	}
 	if query.Has(ParamTime) {
-		millis, err := readNumber(ParamTime, query.Get(ParamTime), int64(time.Hour/time.Millisecond))
+		millis, err := parseNumber(ParamTime, query.Get(ParamTime), int64(time.Hour/time.Millisecond))
 		if err != nil {
 			return err
 		}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func readNumber(name, text string, limit int64) (int64, error) {
+func parseNumber(name, text string, limit int64) (int64, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -105,7 +105,7 @@
 	return context.WithDeadline(parent, j.deadline)
 }
 
-func (e *Endpoint) isOrder(r *http.Request) bool {
+func (e *Endpoint) isNonIdempotent(r *http.Request) bool {
 	if r.Method != http.MethodPost {
 		return false
 	}
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -8,7 +8,7 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// LoadReport is the answer at PathLoad.
+// LoadReport is the body of an answer at PathLoad.
 type LoadReport struct {
 	Load     float64             `json:"load"` // Share of the slots in use, 0 to 1.
 	InFlight int                 `json:"in_flight"`
@@ -16,7 +16,8 @@
 	State    fleet.UpstreamState `json:"state"`
 }
 
-// loadHistory keeps the slots in use, for reports that lag. Its caller serialises all calls.
+// loadHistory keeps past numbers of slots in use, for reports that lag. It is not safe for concurrent
+// use.
 type loadHistory struct {
 	samples []loadSample // Oldest first; never empty.
 }
@@ -40,7 +41,7 @@
 	return h.samples[0].inFlight
 }
 
-// trim forgets what was over before t.
+// trim removes the samples that were replaced by newer ones before t.
 func (h *loadHistory) trim(t time.Time) {
 	n := 0
 	for n+1 < len(h.samples) && !h.samples[n+1].at.After(t) {
@@ -49,14 +50,14 @@
 	h.samples = h.samples[n:]
 }
 
-// probe answers PathHealth and PathLoad, as of Spec.Lag ago or as the faults claim.
+// probe answers PathHealth and PathLoad with the state of Spec.Lag ago, or with what the faults report.
 func (e *Endpoint) probe(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	e.stats.Probes++
 	faults := e.faults
 	e.mu.Unlock()
 	if e.spec.ProbeTime > 0 {
-		waitFor(r.Context(), e.spec.ProbeTime)
+		sleep(r.Context(), e.spec.ProbeTime)
 	}
 	if r.URL.Path == PathHealth {
 		e.answerHealth(w, faults)
@@ -67,7 +68,7 @@
 
 func (e *Endpoint) answerHealth(w http.ResponseWriter, f Faults) {
 	e.mu.Lock()
-	left := !e.leaving.IsZero() && time.Since(e.leaving) >= e.spec.Lag
+	left := !e.drainingSince.IsZero() && time.Since(e.drainingSince) >= e.spec.Lag
 	e.mu.Unlock()
 	down := f.Health == HealthDown || (f.Health == HealthTrue && left)
 	if down {
--- a/internal/upstream/record.go
+++ b/internal/upstream/record.go
@@ -10,15 +10,15 @@
 // Start is one start of a request at an endpoint.
 type Start struct {
 	Endpoint fleet.Endpoint `json:"endpoint"`
-	Caller   string         `json:"caller"` // Address of the connection's other end.
+	Caller   string         `json:"caller"` // Remote address of the connection.
 	Instance string         `json:"instance"`
 	At       time.Time      `json:"at"`
 }
 
-// Record is what the endpoints of a Host did for one request ID.
+// Record holds the starts of one request ID at the endpoints of a Host.
 type Record struct {
 	ID            string  `json:"id"`
-	NonIdempotent bool    `json:"order"` // The request is not idempotent.
+	NonIdempotent bool    `json:"order"` // By method and path; see Spec.NonIdempotentPaths.
 	Account       string  `json:"account"`
 	Starts        []Start `json:"starts"`
 	Finished      int     `json:"finished"` // Starts that ran to their end.
@@ -26,20 +26,21 @@
 
 // Recorder counts starts by request ID. It is safe for concurrent use.
 type Recorder struct {
-	mu      sync.Mutex
-	lookups bool
-	records map[string]*Record
-	unnamed uint64
+	mu               sync.Mutex
+	recordIdempotent bool
+	records          map[string]*Record
+	unnamed          uint64
 }
 
-// NewRecorder returns an empty recorder. Lookups, which may be repeated, are recorded only when lookups is true.
-func NewRecorder(lookups bool) *Recorder {
-	return &Recorder{lookups: lookups, records: make(map[string]*Record)}
+// NewRecorder returns an empty recorder. Idempotent requests, which may be retried, are recorded only
+// if recordIdempotent is true.
+func NewRecorder(recordIdempotent bool) *Recorder {
+	return &Recorder{recordIdempotent: recordIdempotent, records: make(map[string]*Record)}
 }
 
-// started records a start and returns how many there are now for the request ID.
-func (r *Recorder) started(id, account string, order bool, s Start) int {
-	if !order && !r.lookups {
+// started records a start and returns the number of starts of the request ID so far.
+func (r *Recorder) started(id, account string, nonIdempotent bool, s Start) int {
+	if !nonIdempotent && !r.recordIdempotent {
 		return 1
 	}
 	r.mu.Lock()
@@ -50,7 +51,7 @@
 	}
 	record, ok := r.records[id]
 	if !ok {
-		record = &Record{ID: id, NonIdempotent: order, Account: account}
+		record = &Record{ID: id, NonIdempotent: nonIdempotent, Account: account}
 		r.records[id] = record
 	}
 	record.Starts = append(record.Starts, s)
@@ -65,7 +66,7 @@
 	}
 }
 
-// Starts returns how often a request started.
+// Starts returns the number of starts of a request ID.
 func (r *Recorder) Starts(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +77,7 @@
 	return len(record.Starts)
 }
 
-// Record returns a copy of what is recorded for a request ID.
+// Record returns a copy of the record of a request ID.
 func (r *Recorder) Record(id string) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,12 +90,12 @@
 	return out, true
 }
 
-// Summary counts what is recorded.
+// Summary holds counts over all records.
 type Summary struct {
 	Requests      int      `json:"requests"` // Request IDs that started at least once.
 	NonIdempotent int      `json:"orders"`   // Those of them that are not idempotent.
 	Starts        int      `json:"starts"`
-	Duplicated    []string `json:"doubled"` // IDs of orders that started more than once.
+	Duplicated    []string `json:"doubled"` // IDs of non-idempotent requests that started more than once.
 	Unnamed       uint64   `json:"unnamed"` // Starts without a request ID.
 }
 
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,8 +17,8 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// fast is a spec without waits.
-func fast() Spec {
+// fastSpec returns a spec without delays.
+func fastSpec() Spec {
 	return Spec{Service: "orders", Slots: 2, Queue: -1, Median: 1, Spread: -1, ProbeTime: -1, ConnectTime: -1, NonIdempotentPaths: []string{"/orders"}}
 }
 
@@ -34,17 +34,17 @@
 	return h, h.Endpoints()
 }
 
-// answered is one whole answer.
-type answered struct {
+// answer is a complete answer.
+type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func send(ctx context.Context, e *Endpoint, method, uri, id string, header ...string) (answered, error) {
+func send(ctx context.Context, e *Endpoint, method, uri, id string, header ...string) (answer, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+string(e.Addr())+uri, bytes.NewBufferString("body"))
 	if err != nil {
-		return answered{}, err
+		return answer{}, err
 	}
 	request.Header.Set(HeaderRequestID, id)
 	request.Header.Set(client.HeaderAccount, "counter-1")
@@ -54,26 +54,26 @@
 	transport := &http.Transport{DisableKeepAlives: true}
 	response, err := (&http.Client{Transport: transport}).Do(request)
 	if err != nil {
-		return answered{}, err
+		return answer{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return answered{status: response.StatusCode, header: response.Header, body: body}, err
+	return answer{status: response.StatusCode, header: response.Header, body: body}, err
 }
 
-func TestAnswerNamesItsRequest(t *testing.T) {
-	h, e := newTestHost(t, fast())
+func TestAnswerIdentifiesItsRequest(t *testing.T) {
+	h, e := newTestHost(t, fastSpec())
 	for _, uri := range []string{"/orders/drums?size=5000", "/orders/drums?size=5000&chunked=1"} {
 		got, err := send(context.Background(), e[0], http.MethodPost, uri, "r"+uri)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var answer Answer
-		if err := json.Unmarshal(got.body, &answer); err != nil {
+		var body Answer
+		if err := json.Unmarshal(got.body, &body); err != nil {
 			t.Fatal(err)
 		}
-		if answer.RequestID != "r"+uri || answer.Account != "counter-1" || answer.BodyHash != HashBody([]byte("body")) || answer.URI != uri {
-			t.Fatalf("answer %+v", answer)
+		if body.RequestID != "r"+uri || body.Account != "counter-1" || body.BodyHash != HashBody([]byte("body")) || body.URI != uri {
+			t.Fatalf("answer %+v", body)
 		}
 		if got.header.Get(HeaderRequestID) != "r"+uri || got.header.Get(HeaderLoad) != "0.500" {
 			t.Fatalf("headers %v", got.header)
@@ -85,7 +85,7 @@
 }
 
 func TestSlotsAndShedding(t *testing.T) {
-	h, e := newTestHost(t, fast())
+	h, e := newTestHost(t, fastSpec())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var running sync.WaitGroup
@@ -97,7 +97,7 @@
 	waitUntil(func() bool { return e[0].Stats().InFlight == 2 })
 	got, err := send(context.Background(), e[0], http.MethodPost, "/orders", "shed")
 	if err != nil || got.status != http.StatusServiceUnavailable || got.header.Get(HeaderNotStarted) != "1" {
-		t.Fatalf("over the slots: %+v %v", got, err)
+		t.Fatalf("all slots in use: %+v %v", got, err)
 	}
 	if h.Recorder().Starts("shed") != 0 {
 		t.Fatal("a shed request was started")
@@ -116,8 +116,8 @@
 	}
 }
 
-func TestDeadlineWhileWaitingDoesNotStart(t *testing.T) {
-	spec := fast()
+func TestRequestPastDeadlineInQueueDoesNotStart(t *testing.T) {
+	spec := fastSpec()
 	spec.Slots, spec.Queue = 1, 5
 	h, e := newTestHost(t, spec)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -131,7 +131,7 @@
 }
 
 func TestDeadlineWhileRunning(t *testing.T) {
-	h, e := newTestHost(t, fast())
+	h, e := newTestHost(t, fastSpec())
 	got, err := send(context.Background(), e[0], http.MethodPost, "/orders?time_ms=600000", "slow", HeaderDeadline, "5")
 	if err != nil || got.status != http.StatusGatewayTimeout || got.header.Get(HeaderNotStarted) != "" {
 		t.Fatalf("slow request: %+v %v", got, err)
@@ -141,9 +141,9 @@
 	}
 }
 
-func TestLeavingRefusesNewWorkAndFinishesOld(t *testing.T) {
-	_, e := newTestHost(t, fast())
-	result := make(chan answered, 1)
+func TestDrainRefusesNewWorkAndFinishesRunning(t *testing.T) {
+	_, e := newTestHost(t, fastSpec())
+	result := make(chan answer, 1)
 	go func() {
 		got, _ := send(context.Background(), e[0], http.MethodPost, "/orders?time_ms=300", "old")
 		result <- got
@@ -152,10 +152,10 @@
 	e[0].Drain()
 	got, err := send(context.Background(), e[0], http.MethodGet, "/stock", "new")
 	if err != nil || got.status != http.StatusServiceUnavailable || got.header.Get(HeaderNotStarted) != "1" || got.header.Get(HeaderDraining) != "1" {
-		t.Fatalf("new work while leaving: %+v %v", got, err)
+		t.Fatalf("new work while draining: %+v %v", got, err)
 	}
 	if old := <-result; old.status != http.StatusOK || old.header.Get(HeaderDraining) != "1" {
-		t.Fatalf("work under way: %+v", old)
+		t.Fatalf("running work: %+v", old)
 	}
 	if e[0].Upstream().State != fleet.UpstreamLeaving {
 		t.Fatal("the state is not leaving")
@@ -163,16 +163,16 @@
 }
 
 func TestFaultsOfWork(t *testing.T) {
-	h, e := newTestHost(t, fast())
+	h, e := newTestHost(t, fastSpec())
 	for _, step := range []struct {
 		name   string
 		faults Faults
-		check  func(got answered, err error) bool
+		check  func(got answer, err error) bool
 	}{
-		{"fail", Faults{FailShare: 1}, func(got answered, err error) bool { return err == nil && got.status == 500 }},
-		{"cut", Faults{CutOffShare: 1}, func(got answered, err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) && len(got.body) > 0 }},
-		{"garbage", Faults{GarbageShare: 1}, func(got answered, err error) bool { return err != nil && got.status == 0 }},
-		{"silent", Faults{SilentShare: 1}, func(got answered, err error) bool { return err != nil && got.status == 0 }},
+		{"fail", Faults{FailShare: 1}, func(got answer, err error) bool { return err == nil && got.status == 500 }},
+		{"cut", Faults{CutOffShare: 1}, func(got answer, err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) && len(got.body) > 0 }},
+		{"garbage", Faults{GarbageShare: 1}, func(got answer, err error) bool { return err != nil && got.status == 0 }},
+		{"silent", Faults{SilentShare: 1}, func(got answer, err error) bool { return err != nil && got.status == 0 }},
 	} {
 		if err := e[0].SetFaults(step.faults); err != nil {
 			t.Fatal(err)
@@ -191,7 +191,7 @@
 }
 
 func TestMisleadingHealthAndLoad(t *testing.T) {
-	_, e := newTestHost(t, fast())
+	_, e := newTestHost(t, fastSpec())
 	load := 0.25
 	if err := e[0].SetFaults(Faults{Health: HealthDown, Load: &load}); err != nil {
 		t.Fatal(err)
@@ -210,12 +210,12 @@
 	}
 }
 
-func TestReach(t *testing.T) {
-	h, e := newTestHost(t, fast())
-	set := func(reach Connectivity) {
+func TestConnectivity(t *testing.T) {
+	h, e := newTestHost(t, fastSpec())
+	set := func(connectivity Connectivity) {
 		e[0].SetConnectivity(func(caller netip.Addr) Connectivity {
 			if caller == netip.MustParseAddr("127.0.0.1") {
-				return reach
+				return connectivity
 			}
 			return ConnectivityNormal
 		})
@@ -225,16 +225,16 @@
 	}
 	set(ConnectivityClosed)
 	if _, err := send(context.Background(), e[0], http.MethodPost, "/orders", "closed"); err == nil {
-		t.Fatal("a closed reach answered")
+		t.Fatal("an answer over a closed connection")
 	}
 	set(ConnectivityBlackhole)
 	ctx, cancel := short()
 	if _, err := send(ctx, e[0], http.MethodPost, "/orders", "none"); err == nil {
-		t.Fatal("no reach answered")
+		t.Fatal("an answer without a request")
 	}
 	cancel()
 	if h.Recorder().Starts("none") != 0 {
-		t.Fatal("a request arrived without reach")
+		t.Fatal("a request arrived through a black hole")
 	}
 	set(ConnectivityNoReplies)
 	ctx, cancel = context.WithCancel(context.Background())
@@ -243,10 +243,10 @@
 		cancel()
 	}()
 	if _, err := send(ctx, e[0], http.MethodPost, "/orders", "mute"); err == nil {
-		t.Fatal("a mute reach answered")
+		t.Fatal("an answer arrived although none may be sent")
 	}
 	if h.Recorder().Starts("closed") != 0 || h.Recorder().Starts("mute") != 1 {
-		t.Fatal("wrong starts")
+		t.Fatal("wrong number of starts")
 	}
 	set(ConnectivityNormal)
 	if got, err := send(context.Background(), e[0], http.MethodPost, "/orders", "open"); err != nil || got.status != 200 {
@@ -254,8 +254,8 @@
 	}
 }
 
-func TestReachOfOneAddressGoesFirst(t *testing.T) {
-	_, e := newTestHost(t, fast())
+func TestConnectivityOfOneAddressTakesPrecedence(t *testing.T) {
+	_, e := newTestHost(t, fastSpec())
 	local := netip.MustParseAddr("127.0.0.1")
 	e[0].SetConnectivity(func(netip.Addr) Connectivity { return ConnectivityClosed })
 	e[0].SetConnectivityFrom(local, ConnectivityNormal)
@@ -264,7 +264,7 @@
 	}
 	e[0].SetConnectivityFrom(local, ConnectivityClosed)
 	if _, err := send(context.Background(), e[0], http.MethodPost, "/orders", "closed"); err == nil {
-		t.Fatal("answered")
+		t.Fatal("answered although connections are closed from this address")
 	}
 	for word, want := range map[string]Connectivity{"open": ConnectivityNormal, "close": ConnectivityClosed, "none": ConnectivityBlackhole, "mute": ConnectivityNoReplies} {
 		if got, err := ParseConnectivity(word); err != nil || got != want {
@@ -272,7 +272,7 @@
 		}
 	}
 	if _, err := ParseConnectivity("half"); err == nil {
-		t.Error("taken")
+		t.Error("an unknown name was accepted")
 	}
 }
 
@@ -287,7 +287,7 @@
 }
 
 func TestColdStartSlowsServiceTime(t *testing.T) {
-	spec := fast()
+	spec := fastSpec()
 	spec.Median, spec.ColdStart, spec.ColdFactor = time.Second, time.Hour, 5
 	_, e := newTestHost(t, spec)
 	for offset, want := range map[time.Duration]time.Duration{0: 5 * time.Second, 30 * time.Minute: 3 * time.Second, 2 * time.Hour: time.Second} {
@@ -296,7 +296,7 @@
 		}
 	}
 	if got := e[0].serviceTime(e[0].started.Add(2*time.Hour), Faults{SlowFactor: 10}); got != 10*time.Second {
-		t.Errorf("slow by 10: %v", got)
+		t.Errorf("slow factor 10: %v", got)
 	}
 	if e[0].State() != fleet.UpstreamCold {
 		t.Error("the state is not cold")
@@ -311,15 +311,15 @@
 	h.add(at(12), 2, 10*time.Second)
 	h.add(at(14), 3, 10*time.Second)
 	if got := h.at(at(13)); got != 2 {
-		t.Fatalf("load %d", got)
+		t.Fatalf("%d slots in use", got)
 	}
 	if got := h.at(at(20)); got != 3 {
-		t.Fatalf("load %d", got)
+		t.Fatalf("%d slots in use", got)
 	}
 }
 
-func TestBadInputIsRefusedWithoutStarting(t *testing.T) {
-	h, e := newTestHost(t, fast())
+func TestInvalidInputIsRefusedWithoutStarting(t *testing.T) {
+	h, e := newTestHost(t, fastSpec())
 	for _, uri := range []string{"/orders?size=-1", "/orders?size=x", "/orders?status=99", "/orders?time_ms=-5", "/orders?size=99999999999"} {
 		got, err := send(context.Background(), e[0], http.MethodPost, uri, uri)
 		if err != nil || got.status != http.StatusBadRequest || got.header.Get(HeaderNotStarted) != "1" || h.Recorder().Starts(uri) != 0 {
@@ -328,12 +328,12 @@
 	}
 	for _, f := range []Faults{{FailShare: 2}, {SlowFactor: -1}, {Health: "half"}, {CutOffShare: -0.1}} {
 		if err := e[0].SetFaults(f); err == nil {
-			t.Errorf("faults %+v were taken", f)
+			t.Errorf("invalid faults %+v were accepted", f)
 		}
 	}
 	for _, spec := range []Spec{{Service: "s", Addr: "localhost:0"}, {Addr: "127.0.0.1:0"}, {Service: "s", Slots: -1}} {
 		if _, err := h.Add(spec); err == nil {
-			t.Errorf("spec %+v was taken", spec)
+			t.Errorf("invalid spec %+v was accepted", spec)
 		}
 	}
 }
--- a/internal/upstream/work.go
+++ b/internal/upstream/work.go
@@ -13,10 +13,11 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// MaxBodyBytes bounds the body of a request and the size that an answer may be asked for.
+// MaxBodyBytes bounds the body of a request and the padding of an answer.
 const MaxBodyBytes = 16 << 20
 
-// Answer is the body of an answer to work. A caller compares RequestID, Account and BodyHash with its own.
+// Answer is the body of an answer to a request for work. A caller compares RequestID, Account and
+// BodyHash with those of its request.
 type Answer struct {
 	RequestID   string         `json:"request_id"`
 	Account     string         `json:"account"`
@@ -25,7 +26,7 @@
 	Method      string         `json:"method"`
 	URI         string         `json:"uri"`
 	BodyHash    uint64         `json:"body_hash"` // HashBody of the request's body.
-	StartNumber int            `json:"run"`       // Counts the starts of the request ID on this host.
+	StartNumber int            `json:"run"`       // 1 for the first start of the request ID on this host, 2 for the second, and so on.
 	Padding     string         `json:"padding,omitempty"`
 }
 
@@ -58,12 +59,12 @@
 
 // Reasons for which work does not start.
 var (
-	errLeaving = errors.New("the endpoint is leaving")
-	errFull    = errors.New("the endpoint's queue is full")
-	errTooLate = errors.New("the request's deadline passed, or its caller went away, before it started")
+	errDraining   = errors.New("the endpoint is leaving")
+	errFull       = errors.New("the endpoint's queue is full")
+	errNotStarted = errors.New("the request's deadline passed, or its caller went away, before it started")
 )
 
-// acquire takes a slot.
+// acquire waits for a slot and takes it.
 func (e *Endpoint) acquire(ctx context.Context) error {
 	if err := e.enqueue(); err != nil {
 		return err
@@ -72,12 +73,12 @@
 	case e.slots <- struct{}{}:
 	case <-ctx.Done():
 		e.dequeue()
-		return errTooLate
+		return errNotStarted
 	}
 	e.dequeue()
 	if ctx.Err() != nil {
 		<-e.slots
-		return errTooLate
+		return errNotStarted
 	}
 	e.sampleLoad()
 	return nil
@@ -86,20 +87,20 @@
 func (e *Endpoint) enqueue() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.leaving.IsZero() {
-		return errLeaving
+	if !e.drainingSince.IsZero() {
+		return errDraining
 	}
-	if len(e.slots) == cap(e.slots) && e.waiting >= e.spec.Queue {
+	if len(e.slots) == cap(e.slots) && e.queued >= e.spec.Queue {
 		return errFull
 	}
-	e.waiting++
+	e.queued++
 	return nil
 }
 
 func (e *Endpoint) dequeue() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.waiting--
+	e.queued--
 }
 
 func (e *Endpoint) release() {
@@ -122,11 +123,11 @@
 	http.Error(w, err.Error(), status)
 }
 
-// work runs a job that has a slot, and answers it.
+// work runs a job that holds a slot, and answers it.
 func (e *Endpoint) work(ctx context.Context, w http.ResponseWriter, r *http.Request, j job) {
-	run := e.start(r, j)
-	end := e.drawEnding(j.faults)
-	if !waitFor(ctx, e.runTime(j, end)) {
+	startNumber := e.start(r, j)
+	fault := e.drawFault(j.faults)
+	if !sleep(ctx, e.runTime(j, fault)) {
 		e.count(func(s *Stats) { s.Cancelled++ })
 		http.Error(w, "cancelled, or past its deadline, while it ran", http.StatusGatewayTimeout)
 		return
@@ -134,16 +135,16 @@
 	e.recorder.finished(j.id)
 	e.count(func(s *Stats) {
 		s.Finished++
-		if end != endWhole {
+		if fault != faultNone {
 			s.Failed++
 		}
 	})
-	e.answer(w, r, j, run, end)
+	e.answer(w, r, j, startNumber, fault)
 }
 
-func (e *Endpoint) runTime(j job, end ending) time.Duration {
+func (e *Endpoint) runTime(j job, fault faultKind) time.Duration {
 	switch {
-	case end == endFailed && j.faults.FailFast:
+	case fault == faultFail && j.faults.FailFast:
 		return 0
 	case j.time >= 0:
 		return j.time
@@ -152,7 +153,7 @@
 	}
 }
 
-// start records a start and returns its number.
+// start records a start and returns its number among the starts of the request ID.
 func (e *Endpoint) start(r *http.Request, j job) int {
 	now := time.Now()
 	e.mu.Lock()
@@ -160,7 +161,7 @@
 	e.stats.LastStart = now
 	e.starts = append(e.starts, now)
 	e.mu.Unlock()
-	return e.recorder.started(j.id, j.account, j.order, Start{
+	return e.recorder.started(j.id, j.account, j.nonIdempotent, Start{
 		Endpoint: e.addr,
 		Caller:   r.RemoteAddr,
 		Instance: r.Header.Get(HeaderInstance),
@@ -174,8 +175,8 @@
 	change(&e.stats)
 }
 
-// waitFor returns false when ctx ends before d is over.
-func waitFor(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and returns false if ctx ends before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -189,7 +190,7 @@
 	}
 }
 
-func (e *Endpoint) answerBody(r *http.Request, j job, run int) ([]byte, error) {
+func (e *Endpoint) answerBody(r *http.Request, j job, startNumber int) ([]byte, error) {
 	return json.Marshal(Answer{
 		RequestID:   j.id,
 		Account:     j.account,
@@ -198,7 +199,7 @@
 		Method:      r.Method,
 		URI:         r.URL.RequestURI(),
 		BodyHash:    HashBody(j.body),
-		StartNumber: run,
+		StartNumber: startNumber,
 		Padding:     strings.Repeat("x", j.size),
 	})
 }
