--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -18,7 +18,7 @@
 type Limits struct {
 	HeadBytes   int
 	BodyBytes   int
-	HeadTimeout time.Duration // For a request's whole head, from its first byte.
+	HeadTimeout time.Duration // To receive a request's complete head, from its first byte.
 	IdleTimeout time.Duration // Between an answer and the next request.
 }
 
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -189,7 +189,7 @@
 	})
 }
 
-// startAttempt starts an attempt at the granted endpoint. It is sent to r.completed when it ends.
+// startAttempt starts an attempt at the granted endpoint and sends it to r.completed when it ends.
 func (f *Forwarder) startAttempt(ctx context.Context, r *request, grant dispatch.Grant) {
 	r.tried = append(r.tried, grant.Endpoint.ID)
 	r.sent++
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -30,9 +30,9 @@
 // Errors of an exchange.
 var (
 	// ErrUnsolicitedData is returned when an idle connection has data that answers no request.
-	ErrUnsolicitedData = errors.New("the connection holds bytes that belong to no request")
+	ErrUnsolicitedData = errors.New("the idle connection has data that answers no request")
 	// ErrTimedOut is returned when the deadline passed before an answer was complete.
-	ErrTimedOut = errors.New("no whole answer before the deadline")
+	ErrTimedOut = errors.New("no complete answer before the deadline")
 	// ErrClosed is returned when the peer has closed an idle connection.
 	ErrClosed = errors.New("the connection was closed while idle")
 )
--- a/internal/storecall/storecall_test.go
+++ b/internal/storecall/storecall_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if made != MinBurst {
-		t.Fatalf("%d calls made at once, want %v", made, MinBurst)
+		t.Fatalf("burst of %d calls, want %v", made, MinBurst)
 	}
 	if _, err := store.Get(t.Context(), "key"); !errors.Is(err, ErrOverBudget) {
 		t.Fatalf("error %v", err)
--- a/internal/upstream/audit.go
+++ b/internal/upstream/audit.go
@@ -16,7 +16,7 @@
 // CallerResult is the result of one request as its caller received it, after its last attempt.
 type CallerResult struct {
 	ID            string
-	NonIdempotent bool // The request is not idempotent.
+	NonIdempotent bool
 	Outcome       Outcome
 }
 
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -68,9 +68,9 @@
 
 func (e *Endpoint) answerHealth(w http.ResponseWriter, f Faults) {
 	e.mu.Lock()
-	left := !e.drainingSince.IsZero() && time.Since(e.drainingSince) >= e.spec.Lag
+	drained := !e.drainingSince.IsZero() && time.Since(e.drainingSince) >= e.spec.Lag
 	e.mu.Unlock()
-	down := f.Health == HealthDown || (f.Health == HealthTrue && left)
+	down := f.Health == HealthDown || (f.Health == HealthTrue && drained)
 	if down {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
--- a/internal/upstream/work.go
+++ b/internal/upstream/work.go
@@ -26,7 +26,7 @@
 	Method      string         `json:"method"`
 	URI         string         `json:"uri"`
 	BodyHash    uint64         `json:"body_hash"` // HashBody of the request's body.
-	StartNumber int            `json:"run"`       // 1 for the first start of the request ID on this host, 2 for the second, and so on.
+	StartNumber int            `json:"run"`       // Number of this start among those of the request ID on this host, from 1.
 	Padding     string         `json:"padding,omitempty"`
 }
 
