--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -227,7 +227,7 @@
 func TestShedRequestIsSealed(t *testing.T) {
 	inFleet(t, claim.Limits{}, func(f *testFleet) {
 		f.setExecution(func(context.Context, exchange.Request) exchange.Answer {
-			return exchange.Refusal(result.CodeShedDeadline, "")
+			return exchange.Rejection(result.CodeShedDeadline, "")
 		})
 		r := f.request("a")
 		for _, at := range []fleet.Ref{third, home, witness} {
@@ -241,7 +241,7 @@
 	runs := map[string]func(context.Context, exchange.Request) exchange.Answer{
 		"panic": func(context.Context, exchange.Request) exchange.Answer { panic("executor") },
 		"cut off": func(context.Context, exchange.Request) exchange.Answer {
-			return exchange.Refusal(result.CodeAnswerCutOff, "")
+			return exchange.Rejection(result.CodeAnswerCutOff, "")
 		},
 		"no state": func(context.Context, exchange.Request) exchange.Answer { return exchange.Answer{Status: 200} },
 	}
--- a/internal/claims/route.go
+++ b/internal/claims/route.go
@@ -68,7 +68,7 @@
 		return claim.Submission{}, keyErrorAnswer(err), false
 	}
 	if ticket.Account != r.Account || ticket.Service != r.Service {
-		return claim.Submission{}, exchange.AttemptRefusal(result.CodeTicketOtherAccount, ""), false
+		return claim.Submission{}, exchange.AttemptRejection(result.CodeTicketOtherAccount, ""), false
 	}
 	s = claim.Submission{Key: key, Ticket: ticket, Fingerprint: fingerprint(r), Deadline: r.Deadline}
 	return s, exchange.Answer{}, true
@@ -104,7 +104,7 @@
 		case err == nil:
 			return a
 		case errors.Is(err, relay.ErrUnreachable):
-			return exchange.Refusal(result.CodeAttemptNotRun, "")
+			return exchange.Rejection(result.CodeAttemptNotRun, "")
 		default:
 			return contextEndedAnswer(ctx)
 		}
@@ -186,7 +186,7 @@
 	if allDeclined || !declined(best) {
 		return best
 	}
-	return exchange.Refusal(result.CodeOutcomeUnknown, "")
+	return exchange.Rejection(result.CodeOutcomeUnknown, "")
 }
 
 // answerRank orders answers by how conclusive they are about the key.
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -106,7 +106,7 @@
 	o.load, o.hasLoad = parseLoad(headerValue(resp, HeaderLoad))
 	if status == statusNotStarted && headerValue(resp, HeaderNotStarted) == "1" {
 		o.result = routing.AttemptRefused
-		o.answer = exchange.Refusal(result.CodeUpstreamRefused, "Endpoint "+string(endpoint)+".")
+		o.answer = exchange.Rejection(result.CodeUpstreamRefused, "Endpoint "+string(endpoint)+".")
 		return o
 	}
 	o.result = routing.AttemptSucceeded
@@ -157,7 +157,7 @@
 func notSent(endpoint fleet.Endpoint, err error, endpointFailed bool) outcome {
 	return outcome{
 		result:         routing.AttemptNotSent,
-		answer:         exchange.Refusal(result.CodeNotSent, "Endpoint "+string(endpoint)+": "+err.Error()+"."),
+		answer:         exchange.Rejection(result.CodeNotSent, "Endpoint "+string(endpoint)+": "+err.Error()+"."),
 		endpointFailed: endpointFailed,
 	}
 }
@@ -165,7 +165,7 @@
 func cancelled(endpoint fleet.Endpoint) outcome {
 	return outcome{
 		result: routing.AttemptCancelled,
-		answer: exchange.Refusal(result.CodeCallerGone, "Endpoint "+string(endpoint)+"."),
+		answer: exchange.Rejection(result.CodeCallerGone, "Endpoint "+string(endpoint)+"."),
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	return outcome{
 		result:         routing.AttemptIncomplete,
-		answer:         exchange.Refusal(code, text+"."),
+		answer:         exchange.Rejection(code, text+"."),
 		endpointFailed: endpointFailed,
 	}
 }
--- a/internal/dispatch/headers.go
+++ b/internal/dispatch/headers.go
@@ -34,7 +34,7 @@
 
 // writeHeaders copies the end-to-end headers of a caller's request.
 func writeHeaders(req *fasthttp.Request, headers []exchange.Header) {
-	var listed exchange.ConnectionNames
+	var listed exchange.ConnectionOptions
 	for _, h := range headers {
 		if strings.EqualFold(h.Name, "Connection") {
 			listed.Add(h.Value)
@@ -46,7 +46,7 @@
 			req.Header.SetHost(h.Value)
 			continue
 		}
-		if exchange.HopByHop(name) || internalHeaders[name] || listed[name] {
+		if exchange.IsHopByHop(name) || internalHeaders[name] || listed[name] {
 			continue
 		}
 		req.Header.Add(h.Name, h.Value)
@@ -57,7 +57,7 @@
 // without a body, Content-Length is copied too, since it can't be derived from the body.
 func readHeaders(resp *fasthttp.Response, keepLength bool) []exchange.Header {
 	resp.Header.SetNoDefaultContentType(true)
-	var listed exchange.ConnectionNames
+	var listed exchange.ConnectionOptions
 	count := 0
 	for name, value := range resp.Header.All() {
 		count++
@@ -72,7 +72,7 @@
 			headers = append(headers, exchange.Header{Name: "Content-Length", Value: string(value)})
 			continue
 		}
-		if exchange.HopByHop(lower) || internalHeaders[lower] || listed[lower] {
+		if exchange.IsHopByHop(lower) || internalHeaders[lower] || listed[lower] {
 			continue
 		}
 		headers = append(headers, exchange.Header{Name: string(name), Value: string(value)})
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -62,7 +62,7 @@
 	ctx, span := n.opts.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	r.TraceParent = tracing.Inject(ctx, r.TraceParent)
-	answer := exchange.Refusal(result.CodeNoEndpoint, fmt.Sprintf("no carrier of service %q can be reached", r.Service))
+	answer := exchange.Rejection(result.CodeNoEndpoint, fmt.Sprintf("no carrier of service %q can be reached", r.Service))
 	for i, to := range localFirst(carriers, n.self.Zone) {
 		if i == maxRelayTries {
 			return answer
@@ -75,7 +75,7 @@
 		if errors.Is(err, relay.ErrUnreachable) {
 			continue
 		}
-		answer = exchange.Refusal(result.CodeRelayFailed, err.Error())
+		answer = exchange.Rejection(result.CodeRelayFailed, err.Error())
 		if !r.Idempotent {
 			return answer
 		}
--- a/internal/storecall/storecall_test.go
+++ b/internal/storecall/storecall_test.go
@@ -9,7 +9,7 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/standin"
 )
 
-func TestBudgetFallsWithTheFleetAndRefills(t *testing.T) {
+func TestBudgetShrinksWithFleetSizeAndRefills(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(func() time.Time { return now })
 	last := b.Rate()
@@ -28,9 +28,9 @@
 		}
 	}
 	if made != MinBurst {
-		t.Fatalf("%d calls made at once, want %v", made, MinBurst)
+		t.Fatalf("burst of %d calls, want %v", made, MinBurst)
 	}
-	if _, err := store.Get(t.Context(), "key"); !errors.Is(err, ErrBudget) {
+	if _, err := store.Get(t.Context(), "key"); !errors.Is(err, ErrOverBudget) {
 		t.Fatalf("error %v", err)
 	}
 	now = now.Add(time.Minute)
