--- a/internal/gateway/contents.go
+++ b/internal/gateway/apply.go
@@ -9,12 +9,12 @@
 )
 
 // replace takes in everything that the store held at a revision.
-func (c *control) replace(now time.Time, items []platform.Item, at platform.Revision) {
+func (c *control) applyFullRead(now time.Time, items []platform.Item, at platform.Revision) {
 	if c.synced && at < c.revision {
 		return // Others have told of later changes meanwhile.
 	}
 	first := !c.synced
-	c.quiet(first)
+	c.setQuiet(first)
 	present := make(map[string]bool, len(items))
 	changed := false
 	for _, item := range items {
@@ -23,10 +23,10 @@
 	}
 	for _, key := range c.registry.keys() {
 		if !present[key] {
-			changed = c.miss(now, key) || changed
+			changed = c.handleMissing(now, key) || changed
 		}
 	}
-	for key := range c.members.list {
+	for key := range c.members.byKey {
 		if !present[key] {
 			c.members.remove(now, key)
 		}
@@ -34,38 +34,38 @@
 	changed = c.registry.expire(now) || changed
 	c.synced = true
 	if first {
-		c.log.Info("store read", "revision", uint64(at), "upstreams", len(c.registry.entries), "peers", len(c.members.list))
+		c.log.Info("store read", "revision", uint64(at), "upstreams", len(c.registry.entries), "peers", len(c.members.byKey))
 	}
-	c.followed(now, at, changed)
+	c.finishUpdate(now, at, changed)
 }
 
 // change takes in what has changed in the store.
-func (c *control) change(now time.Time, items []platform.Item, at platform.Revision) {
-	c.quiet(!c.onDuty.Load())
+func (c *control) applyChanges(now time.Time, items []platform.Item, at platform.Revision) {
+	c.setQuiet(!c.shouldFollow.Load())
 	changed := false
 	for _, item := range items {
 		switch {
 		case item.Revision <= c.revision: // It was told of before.
 		case item.Deleted:
-			changed = c.drop(now, item.Key) || changed
+			changed = c.handleDeleted(now, item.Key) || changed
 		default:
 			changed = c.put(now, item) || changed
 		}
 	}
-	c.followed(now, at, changed)
+	c.finishUpdate(now, at, changed)
 }
 
 // quiet sets whether registrations are logged one by one: those of the first read are not, and
 // later ones only by the followers of the store, once or twice in a zone.
-func (c *control) quiet(yes bool) {
-	c.registry.quiet, c.members.quiet = yes, yes
+func (c *control) setQuiet(on bool) {
+	c.registry.quiet, c.members.quiet = on, on
 }
 
-func (c *control) followed(now time.Time, at platform.Revision, changed bool) {
+func (c *control) finishUpdate(now time.Time, at platform.Revision, changed bool) {
 	c.revision = max(c.revision, at)
-	c.known.Store(uint64(c.revision))
-	c.inStep.Store(true)
-	c.behind, c.ahead, c.asked = time.Time{}, time.Time{}, false
+	c.knownRevision.Store(uint64(c.revision))
+	c.upToDate.Store(true)
+	c.behindSince, c.firstBehind, c.resendRequested = time.Time{}, time.Time{}, false
 	if changed {
 		c.applyUpstreams(now)
 	}
@@ -76,7 +76,7 @@
 func (c *control) put(now time.Time, item platform.Item) bool {
 	switch {
 	case item.Key == platform.ConfigKey:
-		return c.adopt(item.Value)
+		return c.applyConfig(item.Value)
 	case strings.HasPrefix(item.Key, platform.UpstreamPrefix):
 		return c.registry.put(now, item.Key, item.Value)
 	case strings.HasPrefix(item.Key, memberPrefix):
@@ -88,24 +88,24 @@
 // miss takes in that a registration of an upstream was not there when all keys were read,
 // and tells whether the endpoints changed. It may have lapsed while the store was away; the
 // store is back since another instance was ahead, if one was.
-func (c *control) miss(now time.Time, key string) bool {
-	if !c.troubled(now) {
+func (c *control) handleMissing(now time.Time, key string) bool {
+	if !c.storeFailing(now) {
 		return c.registry.remove(key)
 	}
 	back := now
-	if !c.ahead.IsZero() {
-		back = c.ahead
+	if !c.firstBehind.IsZero() {
+		back = c.firstBehind
 	}
-	return c.registry.lapse(back, key)
+	return c.registry.markMissing(back, key)
 }
 
 // drop takes in that a key was removed and tells whether the endpoints changed.
-func (c *control) drop(now time.Time, key string) bool {
+func (c *control) handleDeleted(now time.Time, key string) bool {
 	switch {
 	case strings.HasPrefix(key, platform.UpstreamPrefix):
 		return c.registry.remove(key)
 	case key == c.members.self:
-		notify(c.unlisted)
+		notify(c.deregistered)
 	case strings.HasPrefix(key, memberPrefix):
 		c.members.remove(now, key)
 	}
@@ -121,7 +121,7 @@
 }
 
 // adopt takes in a configuration that is newer than the one in force.
-func (c *control) adopt(value []byte) bool {
+func (c *control) applyConfig(value []byte) bool {
 	next, err := platform.DecodeConfig(value)
 	if err != nil {
 		c.log.Error("configuration ignored", "error", err.Error())
@@ -131,28 +131,28 @@
 		return false
 	}
 	c.config = next
-	c.noteOnce(next.Warnings)
+	c.logNewWarnings(next.Warnings)
 	c.log.Info("configuration in force", "version", next.Version.String(), "routes", len(next.Routes), "services", len(next.Services))
 	return true
 }
 
 // noteOnce logs what of the configuration is not understood, once while it stays so.
-func (c *control) noteOnce(notes []string) {
-	for _, note := range notes {
-		if !slices.Contains(c.notes, note) {
-			c.log.Warn("configuration understood in part", "note", note)
+func (c *control) logNewWarnings(warnings []string) {
+	for _, warning := range warnings {
+		if !slices.Contains(c.warnings, warning) {
+			c.log.Warn("configuration understood in part", "note", warning)
 		}
 	}
-	c.notes = notes
+	c.warnings = warnings
 }
 
 func (c *control) applyUpstreams(now time.Time) {
 	if c.config != nil {
 		c.machine.SetEndpoints(now, c.registry.endpoints(c.config))
-		c.applyDesk(now)
+		c.applyBrokerEndpoints(now)
 	}
 }
 
-func (c *control) troubled(now time.Time) bool {
-	return now.Sub(c.trouble) < troubleWindow
+func (c *control) storeFailing(now time.Time) bool {
+	return now.Sub(c.lastStoreError) < storeErrorWindow
 }
--- a/internal/gateway/side.go
+++ b/internal/gateway/auxserver.go
@@ -13,40 +13,40 @@
 
 const (
 	// sideTimeout bounds the reading and writing of one short request.
-	sideTimeout = 3 * time.Second
+	auxTimeout = 3 * time.Second
 	// sideIdle is how long a caller may keep such a connection.
-	sideIdle = 10 * time.Second
+	auxIdleTimeout = 10 * time.Second
 )
 
 // side is a listener for short requests about the instance itself.
-type side struct {
+type auxServer struct {
 	listener net.Listener
 	server   *fasthttp.Server
 }
 
-func listenSide(addr string, handler fasthttp.RequestHandler) (*side, error) {
+func listenAux(addr string, handler fasthttp.RequestHandler) (*auxServer, error) {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	return &side{listener: listener, server: &fasthttp.Server{
+	return &auxServer{listener: listener, server: &fasthttp.Server{
 		Handler:               handler,
-		ReadTimeout:           sideTimeout,
-		WriteTimeout:          sideTimeout,
-		IdleTimeout:           sideIdle,
+		ReadTimeout:           auxTimeout,
+		WriteTimeout:          auxTimeout,
+		IdleTimeout:           auxIdleTimeout,
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
 	}}, nil
 }
 
-func (s *side) run() error {
+func (s *auxServer) run() error {
 	if err := s.server.Serve(s.listener); err != nil && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("serve on %s: %w", s.listener.Addr(), err)
 	}
 	return nil
 }
 
-func (s *side) close() error {
+func (s *auxServer) close() error {
 	return s.listener.Close()
 }
 
@@ -66,8 +66,8 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	asker := platform.ReadDiscoveryQuery(&ctx.Request)
-	list := g.addresses(asker.Zone)
+	query := platform.ReadDiscoveryQuery(&ctx.Request)
+	list := g.addresses(query.Zone)
 	if len(list) == 0 {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
@@ -108,8 +108,8 @@
 		"ready":              boolGauge(g.ready()),
 		"control_commands":   int64(len(g.control.commands)),
 		"process_uptime_ms":  time.Since(g.started).Milliseconds(),
-		"broker_silent":      g.control.brokerSilent.Load(),
-		"follows_store":      boolGauge(g.control.onDuty.Load()),
+		"broker_silent":      g.control.brokerTimeouts.Load(),
+		"follows_store":      boolGauge(g.control.shouldFollow.Load()),
 	}
 	for kind, n := range g.store.Calls() {
 		gauges["store_calls_"+kind.String()] = n
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -21,7 +21,7 @@
 	var items []platform.Item
 	for k := range instances {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(k % 5), byte(k / 250), byte(k % 250)}), 7540)
-		value, err := cbor.Marshal(memberRecord{Peer: dispatch.PeerID(k + 1), Zone: fmt.Sprint("zone-", k%5), Callers: "10.0.0.1:80", Peers: at, Link: 20})
+		value, err := cbor.Marshal(memberRecord{Peer: dispatch.PeerID(k + 1), Zone: fmt.Sprint("zone-", k%5), CallerAddr: "10.0.0.1:80", PeerAddr: at, LinkMbps: 20})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 			b.Fatal(err)
 		}
 		c := newControl(&s, slog.New(slog.NewJSONHandler(io.Discard, nil)), &peerSocket{})
-		c.replace(time.Now(), got.Items, 1)
+		c.applyFullRead(time.Now(), got.Items, 1)
 		if c.snapshot.Load().router == nil {
 			b.Fatal("not ready")
 		}
--- a/internal/gateway/broker_test.go
+++ b/internal/gateway/broker_test.go
@@ -27,7 +27,7 @@
 		eventually(t, "brokers are known", func() bool {
 			known := make(chan bool, 1)
 			in.gateway.control.post(func() {
-				known <- in.gateway.control.brokered() && len(in.gateway.control.members.list) == len(zones)-1
+				known <- in.gateway.control.brokered() && len(in.gateway.control.members.byKey) == len(zones)-1
 			})
 			return <-known
 		})
@@ -46,16 +46,16 @@
 	w, all := startBrokered(t, "aaaa")
 	u := w.startUpstream("i-1", "orders")
 	for _, in := range all {
-		eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
+		eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	}
-	desks, served := 0, u.requests.Load()
+	brokers, served := 0, u.requests.Load()
 	for _, in := range all {
-		if inControl(in, func(c *control) bool { return c.desk != nil }) {
-			desks++
+		if inControl(in, func(c *control) bool { return c.broker != nil }) {
+			brokers++
 		}
 	}
-	if desks != 1 {
-		t.Errorf("%d instances broker one service", desks)
+	if brokers != 1 {
+		t.Errorf("%d instances broker one service", brokers)
 	}
 	if served < int64(len(all)) {
 		t.Errorf("%d requests", served)
@@ -63,7 +63,7 @@
 	for _, in := range all {
 		eventually(t, "every grant is counted out", func() bool {
 			return inControl(in, func(c *control) bool {
-				return (c.desk == nil || c.desk.ledger.Len() == 0) && len(c.placing.granted) == 0 && len(c.placing.open) == 0
+				return (c.broker == nil || c.broker.grants.Len() == 0) && len(c.placement.grantedBy) == 0 && len(c.placement.pending) == 0
 			})
 		})
 	}
@@ -74,11 +74,11 @@
 	w, all := startBrokered(t, "aaaa")
 	w.startUpstream("i-1", "orders")
 	for _, in := range all {
-		eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
+		eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	}
 	var rest []*instance
 	for _, in := range all {
-		if !inControl(in, func(c *control) bool { return c.desk != nil }) {
+		if !inControl(in, func(c *control) bool { return c.broker != nil }) {
 			rest = append(rest, in)
 			continue
 		}
@@ -91,7 +91,7 @@
 	}
 	for range 5 {
 		for _, in := range rest {
-			if status, _, id := in.ask(t, "h.example", "/x"); status != http.StatusOK {
+			if status, _, id := in.send(t, "h.example", "/x"); status != http.StatusOK {
 				t.Errorf("request %s: status %d", id, status)
 			}
 		}
@@ -104,23 +104,23 @@
 	u := w.startUpstream("i-1", "orders") // Of zone a.
 	for _, in := range all {
 		eventually(t, "served", func() bool {
-			status, body, _ := in.ask(t, "h.example", "/x")
+			status, body, _ := in.send(t, "h.example", "/x")
 			return status == http.StatusOK && body == u.id
 		})
 	}
-	silent := func() (n int64) {
+	timeouts := func() (n int64) {
 		for _, in := range all {
-			n += in.gateway.control.brokerSilent.Load()
+			n += in.gateway.control.brokerTimeouts.Load()
 		}
 		return n
 	}
-	before := silent()
+	before := timeouts()
 	for _, in := range all[3:] {
-		if status, _, id := in.ask(t, "h.example", "/x"); status != http.StatusOK {
+		if status, _, id := in.send(t, "h.example", "/x"); status != http.StatusOK {
 			t.Errorf("request %s of zone b: status %d", id, status)
 		}
 	}
-	if now := silent(); now != before {
+	if now := timeouts(); now != before {
 		t.Errorf("%d questions without an answer", now-before)
 	}
 }
@@ -131,7 +131,7 @@
 	w, all := startBrokered(t, "aaabbb")
 	good, bad := w.startUpstream("i-good", "orders"), w.startUpstream("i-bad", "orders")
 	bad.failing.Store(true)
-	eventually(t, "served", func() bool { status, _, _ := all[0].ask(t, "h.example", "/x"); return status == http.StatusOK })
+	eventually(t, "served", func() bool { status, _, _ := all[0].send(t, "h.example", "/x"); return status == http.StatusOK })
 	before := good.requests.Load() + bad.requests.Load()
 	const each = 20
 	var done sync.WaitGroup
@@ -140,7 +140,7 @@
 			done.Add(1)
 			go func() {
 				defer done.Done()
-				status, _, id := in.ask(t, "h.example", "/x")
+				status, _, id := in.send(t, "h.example", "/x")
 				if !slices.Contains([]int{http.StatusOK, http.StatusInternalServerError, http.StatusServiceUnavailable}, status) {
 					t.Errorf("request %s: status %d", id, status)
 				}
@@ -157,7 +157,7 @@
 func TestKeepersTellWhoIsThere(t *testing.T) {
 	_, all := startBrokered(t, "aaaaab")
 	last := all[4]
-	if inControl(last, func(c *control) bool { return c.keeps() }) {
+	if inControl(last, func(c *control) bool { return c.isCoordinator() }) {
 		t.Fatal("more than three keep")
 	}
 	eventually(t, "all are alive", func() bool { return len(last.gateway.control.snapshot.Load().alive) == len(all)-1 })
@@ -179,7 +179,7 @@
 	w, all := startBrokered(t, "aaa")
 	w.startUpstream("i-1", "orders")
 	in := all[0]
-	eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
+	eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	now := time.Now()
 	for name, tc := range map[string]struct {
 		service string
@@ -190,20 +190,20 @@
 		"a former life's": {"orders", func(c *control) dispatch.PeerID { return c.peer + 1 }, false},
 		"another service": {"others", func(c *control) dispatch.PeerID { return c.peer }, false},
 	} {
-		answer := make(chan acquired, 1)
+		result := make(chan acquireResult, 1)
 		granted := inControl(in, func(c *control) int {
-			c.placing.seq++
-			ask := dispatch.Request{Service: tc.service, Objective: now.Add(time.Second), Deadline: now.Add(time.Second)}
-			c.placing.open[c.placing.seq] = &pending{ask: ask, answer: answer, timer: time.NewTimer(time.Hour)}
-			r := reply{Broker: 99, To: tc.to(c), Seq: c.placing.seq, Endpoint: endpointID("i-1")}
-			c.hearReply(now, r)
-			before := len(c.placing.granted)
-			c.hearReply(now, r) // Once more.
-			if len(c.placing.granted) != before {
+			c.placement.seq++
+			request := dispatch.Request{Service: tc.service, Objective: now.Add(time.Second), Deadline: now.Add(time.Second)}
+			c.placement.pending[c.placement.seq] = &pendingPlacement{request: request, result: result, timer: time.NewTimer(time.Hour)}
+			r := placementReply{Broker: 99, To: tc.to(c), Seq: c.placement.seq, Endpoint: endpointID("i-1")}
+			c.handlePlacementReply(now, r)
+			before := len(c.placement.grantedBy)
+			c.handlePlacementReply(now, r) // Once more.
+			if len(c.placement.grantedBy) != before {
 				t.Errorf("%s: the second reply counts", name)
 			}
-			delete(c.placing.granted, c.placing.seq)
-			delete(c.placing.open, c.placing.seq)
+			delete(c.placement.grantedBy, c.placement.seq)
+			delete(c.placement.pending, c.placement.seq)
 			return before
 		})
 		if (granted > 0) != tc.answers {
@@ -214,28 +214,28 @@
 
 func TestQuestionsSurviveTheWire(t *testing.T) {
 	now := time.Unix(1000, 0)
-	a := dispatch.Request{
+	req := dispatch.Request{
 		Service: "orders", Idempotent: true, Hedge: true, Objective: now.Add(-time.Second), Deadline: now.Add(2 * time.Second),
 		Tried: []dispatch.EndpointID{1, 1 << 31}, CrossZoneCost: 0.125,
 	}
-	data, err := encodeKind(brokerQuestion, questionOf(7, 9, now, a))
+	data, err := encodeKind(datagramPlacementRequest, newPlacementRequest(7, 9, now, req))
 	if err != nil {
 		t.Fatal(err)
 	}
-	q, err := decodeKind[question](data[1:])
+	msg, err := decodeKind[placementRequest](data[1:])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := q.ask(now); fmt.Sprint(got) != fmt.Sprint(a) || q.From != 7 || q.Seq != 9 {
-		t.Errorf("got %+v, want %+v", got, a)
+	if got := msg.request(now); fmt.Sprint(got) != fmt.Sprint(req) || msg.From != 7 || msg.Seq != 9 {
+		t.Errorf("got %+v, want %+v", got, req)
 	}
 	var many []dispatch.EndpointID
-	for k := range 4 * triedMost {
+	for k := range 4 * maxTried {
 		many = append(many, dispatch.EndpointID(1<<31+k))
 	}
-	a.Tried = many
-	a.Service = strings.Repeat("long", 50)
-	if data, err = encodeKind(brokerQuestion, questionOf(1<<63, 1<<63, now, a)); err != nil || len(data) > maxDatagramBytes {
+	req.Tried = many
+	req.Service = strings.Repeat("long", 50)
+	if data, err = encodeKind(datagramPlacementRequest, newPlacementRequest(1<<63, 1<<63, now, req)); err != nil || len(data) > maxDatagramBytes {
 		t.Errorf("%d bytes, %v", len(data), err)
 	}
 }
--- a/internal/gateway/brokerwire.go
+++ b/internal/gateway/brokerwire.go
@@ -13,78 +13,78 @@
 
 // question asks a service's broker for an endpoint. Times are milliseconds, shares parts of
 // a thousand.
-type question struct {
-	_         struct{} `cbor:",toarray"`
-	From      dispatch.PeerID
-	Seq       uint64 // Of the asker; it names the grant.
-	Hops      uint8
-	Home      dispatch.PeerID // Broker of the asker's zone, to which a question that was passed on comes back.
-	Service   string
-	Flags     uint8
-	Crossing  int
-	Best      int // Worth of the best endpoint at home.
-	Objective int // Left; negative once it has passed.
-	Deadline  int // Left.
-	Tried     []dispatch.EndpointID
+type placementRequest struct {
+	_             struct{} `cbor:",toarray"`
+	From          dispatch.PeerID
+	Seq           uint64 // Of the asker; it names the grant.
+	Hops          uint8
+	HomeBroker    dispatch.PeerID // Broker of the asker's zone, to which a question that was passed on comes back.
+	Service       string
+	Flags         uint8
+	CrossZoneCost int
+	BestScore     int // Worth of the best endpoint at home.
+	Objective     int // Left; negative once it has passed.
+	Deadline      int // Left.
+	Tried         []dispatch.EndpointID
 }
 
 // Flags of a question.
 const (
 	flagIdempotent = 1 << iota
-	flagRepeat
+	flagRetry
 	flagHedge
 )
 
 // Hops of a question.
 const (
-	hopHome  = iota // To the broker of the asker's zone.
-	hopAway         // Passed on to another zone's broker.
-	hopAgain        // Back home: nothing better was found.
+	hopLocal    = iota // To the broker of the asker's zone.
+	hopRemote          // Passed on to another zone's broker.
+	hopReturned        // Back home: nothing better was found.
 )
 
 // reply answers a question: an endpoint, or why none.
-type reply struct {
-	_          struct{} `cbor:",toarray"`
-	Broker     dispatch.PeerID
-	To         dispatch.PeerID // The asker's life: one that has restarted counts its questions anew.
-	Seq        uint64
-	Reason     dispatch.Reason // 0 where there is an endpoint.
-	Endpoint   dispatch.EndpointID
-	Chance     int
-	InFlight   int
-	Usual      int
-	RetryAfter int
-	Expected   int
+type placementReply struct {
+	_               struct{} `cbor:",toarray"`
+	Broker          dispatch.PeerID
+	To              dispatch.PeerID // The asker's life: one that has restarted counts its questions anew.
+	Seq             uint64
+	Reason          dispatch.Reason // 0 where there is an endpoint.
+	Endpoint        dispatch.EndpointID
+	Chance          int
+	InFlight        int
+	BaselineLatency int
+	RetryAfter      int
+	ExpectedLatency int
 }
 
 // ending tells a broker what became of a grant.
-type ending struct {
-	_    struct{} `cbor:",toarray"`
-	From dispatch.PeerID
-	Seq  uint64
-	Kind dispatch.EventKind
-	Took int
+type grantEnd struct {
+	_             struct{} `cbor:",toarray"`
+	From          dispatch.PeerID
+	Seq           uint64
+	Kind          dispatch.EventKind
+	LatencyMillis int
 }
 
 // roll is what a keeper tells of who is there.
-type roll struct {
-	_         struct{} `cbor:",toarray"`
-	From      dispatch.PeerID
-	Revision  platform.Revision
-	Following bool
-	Troubled  bool
-	Leaving   bool
-	Silent    []dispatch.PeerID // Instances that are silent or leaving.
-	Followers []dispatch.PeerID // Other instances of the zone that follow the store.
-	Dark      []string          // Zones of which nobody is heard.
+type livenessReport struct {
+	_            struct{} `cbor:",toarray"`
+	From         dispatch.PeerID
+	Revision     platform.Revision
+	Following    bool
+	StoreFailing bool
+	Leaving      bool
+	Silent       []dispatch.PeerID // Instances that are silent or leaving.
+	Followers    []dispatch.PeerID // Other instances of the zone that follow the store.
+	SilentZones  []string          // Zones of which nobody is heard.
 }
 
 const (
 	perMille = 1000
 	// triedMost bounds the endpoints that a question excludes.
-	triedMost = 24
+	maxTried = 24
 	// silentMost keeps a roll within a datagram: an instance takes at most 9 bytes.
-	silentMost = 120
+	maxReportedSilent = 120
 )
 
 func toPerMille(x float64) int {
@@ -96,26 +96,26 @@
 }
 
 // questionOf returns the question for a request.
-func questionOf(from dispatch.PeerID, seq uint64, now time.Time, a dispatch.Request) question {
-	q := question{
-		From: from, Seq: seq, Service: a.Service, Crossing: toPerMille(a.CrossZoneCost),
-		Objective: int(a.Objective.Sub(now).Milliseconds()), Deadline: int(a.Deadline.Sub(now).Milliseconds()),
-		Tried: a.Tried[:min(len(a.Tried), triedMost)],
+func newPlacementRequest(from dispatch.PeerID, seq uint64, now time.Time, req dispatch.Request) placementRequest {
+	msg := placementRequest{
+		From: from, Seq: seq, Service: req.Service, CrossZoneCost: toPerMille(req.CrossZoneCost),
+		Objective: int(req.Objective.Sub(now).Milliseconds()), Deadline: int(req.Deadline.Sub(now).Milliseconds()),
+		Tried: req.Tried[:min(len(req.Tried), maxTried)],
 	}
-	for flag, set := range map[uint8]bool{flagIdempotent: a.Idempotent, flagRepeat: a.Retry, flagHedge: a.Hedge} {
+	for flag, set := range map[uint8]bool{flagIdempotent: req.Idempotent, flagRetry: req.Retry, flagHedge: req.Hedge} {
 		if set {
-			q.Flags |= flag
+			msg.Flags |= flag
 		}
 	}
-	return q
+	return msg
 }
 
 // ask returns the request that a question is about.
-func (q *question) ask(now time.Time) dispatch.Request {
+func (msg *placementRequest) request(now time.Time) dispatch.Request {
 	return dispatch.Request{
-		Service: q.Service, Idempotent: q.Flags&flagIdempotent != 0, Retry: q.Flags&flagRepeat != 0, Hedge: q.Flags&flagHedge != 0,
-		Objective: now.Add(time.Duration(q.Objective) * time.Millisecond), Deadline: now.Add(time.Duration(q.Deadline) * time.Millisecond),
-		Tried: q.Tried, CrossZoneCost: fromPerMille(q.Crossing),
+		Service: msg.Service, Idempotent: msg.Flags&flagIdempotent != 0, Retry: msg.Flags&flagRetry != 0, Hedge: msg.Flags&flagHedge != 0,
+		Objective: now.Add(time.Duration(msg.Objective) * time.Millisecond), Deadline: now.Add(time.Duration(msg.Deadline) * time.Millisecond),
+		Tried: msg.Tried, CrossZoneCost: fromPerMille(msg.CrossZoneCost),
 	}
 }
 
--- a/internal/gateway/feed.go
+++ b/internal/gateway/changes.go
@@ -15,21 +15,21 @@
 	followerTimeout = 1200 * time.Millisecond
 	// lagTimeout is how long an instance that is told of changes may lack one that others
 	// have: a lost datagram, or a change too large for one.
-	lagTimeout = 200 * time.Millisecond
+	receiverLagTimeout = 200 * time.Millisecond
 )
 
 // feed is a run of changes of the store, told by an instance that follows it to those of its
 // zone that do not. Whoever knows the store up to After knows it up to At with them.
-type feed struct {
+type changeBatch struct {
 	_     struct{} `cbor:",toarray"`
 	From  dispatch.PeerID
 	After platform.Revision
 	At    platform.Revision
-	Items []feedItem
+	Items []keyChange
 }
 
 // feedItem is one key of the store as it was written, or the end of one.
-type feedItem struct {
+type keyChange struct {
 	_        struct{} `cbor:",toarray"`
 	Key      string
 	Value    []byte
@@ -38,31 +38,31 @@
 }
 
 // newFeed returns the changes of a watch in the order of their revisions.
-func newFeed(from dispatch.PeerID, items []platform.Item, after, at platform.Revision) feed {
-	f := feed{From: from, After: after, At: max(at, after)}
+func newChangeBatch(from dispatch.PeerID, items []platform.Item, after, at platform.Revision) changeBatch {
+	b := changeBatch{From: from, After: after, At: max(at, after)}
 	for _, item := range items {
-		f.Items = append(f.Items, feedItem{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted})
+		b.Items = append(b.Items, keyChange{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted})
 	}
-	slices.SortStableFunc(f.Items, func(a, b feedItem) int { return cmp.Compare(a.Revision, b.Revision) })
-	return f
+	slices.SortStableFunc(b.Items, func(a, b keyChange) int { return cmp.Compare(a.Revision, b.Revision) })
+	return b
 }
 
 // datagrams cuts a feed into datagrams. A change that is too large even for pieces is left
 // out: those who lack it see by the revision that others know more, and read it themselves.
-func (f feed) datagrams() ([][]byte, error) {
-	data, err := encodeKind(storeFeed, f)
+func (b changeBatch) datagrams() ([][]byte, error) {
+	data, err := encodeKind(datagramChanges, b)
 	if err != nil {
 		return nil, err
 	}
 	if len(data) <= maxDatagramBytes {
 		return [][]byte{data}, nil
 	}
-	half := f.cut()
+	half := b.splitIndex()
 	if half == 0 {
-		return cutPieces(f, data)
+		return fragmentBatch(b, data)
 	}
-	first, second := f, f
-	first.Items, second.Items = f.Items[:half], f.Items[half:]
+	first, second := b, b
+	first.Items, second.Items = b.Items[:half], b.Items[half:]
 	first.At = first.Items[half-1].Revision
 	second.After = first.At
 	head, err := first.datagrams()
@@ -74,10 +74,10 @@
 }
 
 // cut returns where to cut a feed, never between changes of one revision; 0 where it cannot be.
-func (f feed) cut() int {
-	for away := range len(f.Items) {
-		for _, k := range []int{len(f.Items)/2 - away, len(f.Items)/2 + away} {
-			if k > 0 && k < len(f.Items) && f.Items[k-1].Revision != f.Items[k].Revision {
+func (b changeBatch) splitIndex() int {
+	for away := range len(b.Items) {
+		for _, k := range []int{len(b.Items)/2 - away, len(b.Items)/2 + away} {
+			if k > 0 && k < len(b.Items) && b.Items[k-1].Revision != b.Items[k].Revision {
 				return k
 			}
 		}
@@ -86,23 +86,23 @@
 }
 
 // pass tells the instances of this zone that do not follow the store what a watch brought.
-func (c *control) pass(items []platform.Item, after, at platform.Revision) {
-	f := newFeed(c.peer, items, after, at)
-	c.history.add(time.Now(), f)
-	c.sendFeed(f, c.snapshot.Load().alive...)
+func (c *control) forwardChanges(items []platform.Item, after, at platform.Revision) {
+	b := newChangeBatch(c.peer, items, after, at)
+	c.history.add(time.Now(), b)
+	c.sendChanges(b, c.snapshot.Load().alive...)
 }
 
 // sendFeed tells those of some instances that are of this zone what a watch brought.
-func (c *control) sendFeed(f feed, to ...*member) {
-	datagrams, err := f.datagrams()
+func (c *control) sendChanges(b changeBatch, to ...*member) {
+	datagrams, err := b.datagrams()
 	if err != nil {
-		c.log.Error("changes of the store not passed on", "after", uint64(f.After), "at", uint64(f.At), "error", err.Error())
+		c.log.Error("changes of the store not passed on", "after", uint64(b.After), "at", uint64(b.At), "error", err.Error())
 		return
 	}
 	var zone []netip.AddrPort
 	for _, e := range to {
 		if e.Zone == c.members.zone {
-			zone = append(zone, e.Peers)
+			zone = append(zone, e.PeerAddr)
 		}
 	}
 	for _, data := range datagrams {
@@ -111,66 +111,66 @@
 }
 
 // take takes in what a follower of the store tells.
-func (c *control) take(now time.Time, f feed) {
-	if !c.synced || f.At <= c.revision {
+func (c *control) handleChanges(now time.Time, b changeBatch) {
+	if !c.synced || b.At <= c.revision {
 		return
 	}
-	if f.After > c.revision {
-		c.takeBeyond(now, f)
+	if b.After > c.revision {
+		c.handleChangesAfterGap(now, b)
 		return
 	}
-	items := make([]platform.Item, 0, len(f.Items))
-	for _, item := range f.Items {
+	items := make([]platform.Item, 0, len(b.Items))
+	for _, item := range b.Items {
 		items = append(items, platform.Item{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted})
 	}
-	c.history.add(now, f)
-	c.change(now, items, f.At)
+	c.history.add(now, b)
+	c.applyChanges(now, items, b.At)
 }
 
 // takeBeyond takes in a feed after a gap. A configuration is whole and newer or not, whatever
 // was missed before it; the rest waits until the gap is filled.
-func (c *control) takeBeyond(now time.Time, f feed) {
-	for _, item := range f.Items {
-		if item.Key == platform.ConfigKey && !item.Deleted && c.adopt(item.Value) {
+func (c *control) handleChangesAfterGap(now time.Time, b changeBatch) {
+	for _, item := range b.Items {
+		if item.Key == platform.ConfigKey && !item.Deleted && c.applyConfig(item.Value) {
 			c.applyUpstreams(now)
 			c.publish(now)
 		}
 	}
-	if c.behind.IsZero() {
-		c.behind = now
-		time.AfterFunc(lagTimeout, func() { c.post(func() { c.catchUp(time.Now()) }) })
+	if c.behindSince.IsZero() {
+		c.behindSince = now
+		time.AfterFunc(receiverLagTimeout, func() { c.post(func() { c.catchUp(time.Now()) }) })
 	}
 }
 
 // assign decides whether this instance follows the store itself.
-func (c *control) assign(now time.Time) {
+func (c *control) updateFollowing(now time.Time) {
 	peers := c.members.zonePeers(now)
-	c.inLine.Store(c.duty.IsPreferredFollower(peers))
-	if on := c.duty.ShouldFollow(now, peers); on != c.onDuty.Load() {
-		c.onDuty.Store(on)
+	c.preferredFollower.Store(c.followPolicy.IsPreferredFollower(peers))
+	if on := c.followPolicy.ShouldFollow(now, peers); on != c.shouldFollow.Load() {
+		c.shouldFollow.Store(on)
 		c.log.Info("follows the store", "itself", on, "peers_in_zone", len(peers))
 		if !on {
-			c.follows(false)
+			c.setFollowing(false)
 		}
-		notify(c.turn)
+		notify(c.followChanged)
 	}
 }
 
 // follows notes whether this instance follows the store, and tells the others at once.
-func (c *control) follows(yes bool) {
-	yes = yes && c.onDuty.Load()
-	if yes == c.following {
+func (c *control) setFollowing(on bool) {
+	on = on && c.shouldFollow.Load()
+	if on == c.following {
 		return
 	}
-	c.following = yes
-	c.tell()
+	c.following = on
+	c.sendReports()
 }
 
 // lagged tells whether others have known the store further than this instance for too long.
-func (c *control) lagged(now time.Time) bool {
-	bound := behindTimeout
-	if !c.onDuty.Load() {
-		bound = lagTimeout
+func (c *control) isBehind(now time.Time) bool {
+	bound := followerLagTimeout
+	if !c.shouldFollow.Load() {
+		bound = receiverLagTimeout
 	}
-	return !c.behind.IsZero() && now.Sub(c.behind) >= bound
+	return !c.behindSince.IsZero() && now.Sub(c.behindSince) >= bound
 }
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/changes_test.go
@@ -42,13 +42,13 @@
 			if err != nil {
 				return
 			}
-			go s.carry(c)
+			go s.proxy(c)
 		}
 	}()
 	return s
 }
 
-func (s *storeLink) carry(c net.Conn) {
+func (s *storeLink) proxy(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	up, err := net.Dial("tcp4", s.store)
 	if err != nil {
@@ -67,11 +67,11 @@
 }
 
 // refuse resets the instance's calls of the store from now on, or lets them through again.
-func (s *storeLink) refuse(yes bool) {
+func (s *storeLink) refuse(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refused = yes
-	if yes {
+	s.refused = on
+	if on {
 		for _, c := range s.open {
 			_ = c.Close()
 		}
@@ -95,7 +95,7 @@
 }
 
 // follows reports which of some instances follow the store.
-func follows(instances []*instance) []bool {
+func followers(instances []*instance) []bool {
 	var out []bool
 	for _, in := range instances {
 		reply := make(chan bool, 1)
@@ -106,7 +106,7 @@
 }
 
 // knows reports whether an instance's endpoints include one.
-func (in *instance) knows(id string) bool {
+func (in *instance) hasEndpoint(id string) bool {
 	reply := make(chan bool, 1)
 	in.gateway.control.post(func() {
 		reply <- in.gateway.control.machine.Chance(time.Now(), endpointID(id)) > 0
@@ -132,13 +132,13 @@
 		instances, links = append(instances, in), append(links, link)
 	}
 	eventually(t, "two follow the store", func() bool {
-		got := follows(instances)
+		got := followers(instances)
 		return got[0] && got[1] && !slices.Contains(got[2:], true)
 	})
 	eventually(t, "all know the store equally far", func() bool {
 		for _, in := range instances {
 			c := in.gateway.control
-			if c.known.Load() != instances[0].gateway.control.known.Load() || len(c.snapshot.Load().alive) != n-1 {
+			if c.knownRevision.Load() != instances[0].gateway.control.knownRevision.Load() || len(c.snapshot.Load().alive) != n-1 {
 				return false
 			}
 		}
@@ -157,11 +157,11 @@
 	calls := w.store.Calls("range")
 	w.startUpstream("i-1", "orders")
 	for _, in := range instances {
-		eventually(t, "the upstream is known", func() bool { return in.knows("i-1") })
+		eventually(t, "the upstream is known", func() bool { return in.hasEndpoint("i-1") })
 	}
 	w.store.Delete("servers/i-1")
 	for _, in := range instances {
-		eventually(t, "the upstream is gone", func() bool { return !in.knows("i-1") })
+		eventually(t, "the upstream is gone", func() bool { return !in.hasEndpoint("i-1") })
 	}
 	if got := w.store.Calls("range"); got != calls {
 		t.Errorf("%d reads of everything", got-calls)
@@ -173,15 +173,15 @@
 	w, instances, links := startZone(t, 4)
 	links[0].refuse(true)
 	links[1].refuse(true)
-	eventually(t, "the others follow", func() bool { return slices.Equal(follows(instances), []bool{false, false, true, true}) })
+	eventually(t, "the others follow", func() bool { return slices.Equal(followers(instances), []bool{false, false, true, true}) })
 	w.startUpstream("i-1", "orders")
 	w.configure("other.example", "orders")
 	for _, in := range instances {
-		eventually(t, "the upstream is known", func() bool { return in.knows("i-1") })
+		eventually(t, "the upstream is known", func() bool { return in.hasEndpoint("i-1") })
 	}
 	links[0].refuse(false)
 	links[1].refuse(false)
-	eventually(t, "the first follow again", func() bool { return slices.Equal(follows(instances), []bool{true, true, false, false}) })
+	eventually(t, "the first follow again", func() bool { return slices.Equal(followers(instances), []bool{true, true, false, false}) })
 }
 
 // The load that it answers: the store refuses all keepers of a large zone. Two others follow it,
@@ -192,19 +192,19 @@
 		link.refuse(true)
 	}
 	want := []bool{false, false, false, true, true, false, false, false, false}
-	eventually(t, "two others follow", func() bool { return slices.Equal(follows(instances), want) })
+	eventually(t, "two others follow", func() bool { return slices.Equal(followers(instances), want) })
 	w.startUpstream("i-1", "orders")
 	for _, in := range instances {
-		eventually(t, "the upstream is known", func() bool { return in.knows("i-1") })
+		eventually(t, "the upstream is known", func() bool { return in.hasEndpoint("i-1") })
 	}
-	time.Sleep(10 * turnOfAll) // Whoever still waits for its turn would have followed by then.
-	if got := follows(instances); !slices.Equal(got, want) {
+	time.Sleep(10 * failoverTime) // Whoever still waits for its turn would have followed by then.
+	if got := followers(instances); !slices.Equal(got, want) {
 		t.Errorf("these follow: %v", got)
 	}
 }
 
 // turnOfAll is the time in which one instance after the other begins to follow the store.
-const turnOfAll = 200 * time.Millisecond
+const failoverTime = 200 * time.Millisecond
 
 // The load that it answers: the configuration changes all day, and fits no datagram. It goes
 // in pieces, also to those that the store refuses.
@@ -223,12 +223,12 @@
 
 // loses undoes what an instance was told from an upstream's registration on, as if the datagrams
 // had been lost; and the question for what it missed too.
-func (in *instance) loses(w *world, key string, question bool) {
+func (in *instance) dropChanges(w *world, key string, dropRequest bool) {
 	inControl(in, func(c *control) bool {
 		c.registry.remove(key)
 		c.revision = platform.Revision(w.store.RevisionOf(key)) - 1
-		if question {
-			c.asked, c.behind = true, time.Now()
+		if dropRequest {
+			c.resendRequested, c.behindSince = true, time.Now()
 		}
 		c.applyUpstreams(time.Now())
 		return true
@@ -242,11 +242,11 @@
 	last := instances[3]
 	links[3].refuse(true)
 	w.startUpstream("i-1", "orders")
-	eventually(t, "the upstream is known", func() bool { return last.knows("i-1") })
-	last.loses(w, "servers/i-1", false)
+	eventually(t, "the upstream is known", func() bool { return last.hasEndpoint("i-1") })
+	last.dropChanges(w, "servers/i-1", false)
 	w.startUpstream("i-2", "orders")
 	for _, id := range []string{"i-1", "i-2"} {
-		eventually(t, "the upstream is known", func() bool { return last.knows(id) })
+		eventually(t, "the upstream is known", func() bool { return last.hasEndpoint(id) })
 	}
 }
 
@@ -260,7 +260,7 @@
 			links[4].refuse(true)
 			w.store.Delete("instances/edge-4")
 			for _, in := range instances[:4] {
-				eventually(t, "the registration is gone", func() bool { return in.gateway.control.known.Load() >= w.store.Revision() })
+				eventually(t, "the registration is gone", func() bool { return in.gateway.control.knownRevision.Load() >= w.store.Revision() })
 			}
 			for version := 7; version < 10; version++ {
 				w.configureVersion(version, strings.Repeat("long.", 500)+"example", "orders")
@@ -281,13 +281,13 @@
 	last := instances[3]
 	links[3].refuse(true)
 	w.startUpstream("i-1", "orders")
-	eventually(t, "the upstream is known", func() bool { return last.knows("i-1") })
+	eventually(t, "the upstream is known", func() bool { return last.hasEndpoint("i-1") })
 	w.store.Put("servers/i-foreign", []byte{0}) // Another change follows, as when an instance registers anew.
-	eventually(t, "it is told", func() bool { return last.gateway.control.known.Load() >= w.store.Revision() })
-	last.loses(w, "servers/i-1", true)
+	eventually(t, "it is told", func() bool { return last.gateway.control.knownRevision.Load() >= w.store.Revision() })
+	last.dropChanges(w, "servers/i-1", true)
 	w.startUpstream("i-2", "orders")
 	for _, id := range []string{"i-1", "i-2"} {
-		eventually(t, "the upstream is known", func() bool { return last.knows(id) })
+		eventually(t, "the upstream is known", func() bool { return last.hasEndpoint(id) })
 	}
 }
 
@@ -300,8 +300,8 @@
 	eventually(t, "ready", func() bool { return in.ready(t) })
 	leads := inControl(in, func(c *control) bool {
 		before := c.revision
-		c.take(time.Now(), feed{After: before, At: before + 1, Items: []feedItem{{Key: "servers/i-1", Revision: before + 1, Deleted: true}}})
-		c.pass(nil, before+1, before+2)
+		c.handleChanges(time.Now(), changeBatch{After: before, At: before + 1, Items: []keyChange{{Key: "servers/i-1", Revision: before + 1, Deleted: true}}})
+		c.forwardChanges(nil, before+1, before+2)
 		got := c.history.after(before)
 		return len(got) == 2 && got[0].At == before+1 && got[1].At == before+2
 	})
@@ -315,21 +315,21 @@
 		var h history
 		now := time.Unix(1000, 0)
 		at := platform.Revision(10)
-		for range rapid.IntRange(0, 2*historyMost).Draw(t, "feeds") {
+		for range rapid.IntRange(0, 2*maxHistory).Draw(t, "feeds") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			after := at + platform.Revision(rapid.SampledFrom([]int{0, 0, 0, 0, 0, 1}).Draw(t, "gap"))
 			at = after + platform.Revision(rapid.IntRange(1, 5).Draw(t, "changes"))
-			h.add(now, feed{After: after, At: at})
+			h.add(now, changeBatch{After: after, At: at})
 		}
-		if len(h.feeds) > historyMost || len(h.feeds) != len(h.at) {
-			t.Fatalf("%d feeds are kept", len(h.feeds))
+		if len(h.batches) > maxHistory || len(h.batches) != len(h.times) {
+			t.Fatalf("%d feeds are kept", len(h.batches))
 		}
 		known := platform.Revision(rapid.Uint64Range(5, uint64(at)+5).Draw(t, "known"))
 		got := h.after(known)
 		if len(got) > 0 && (got[0].After > known || got[len(got)-1].At != at) {
 			t.Fatalf("from %d: %+v", known, got)
 		}
-		if len(got) == 0 && known < at && len(h.feeds) > 0 && h.feeds[0].After <= known && !slices.ContainsFunc(h.feeds, func(f feed) bool { return f.After > known }) {
+		if len(got) == 0 && known < at && len(h.batches) > 0 && h.batches[0].After <= known && !slices.ContainsFunc(h.batches, func(f changeBatch) bool { return f.After > known }) {
 			t.Fatalf("nothing leads on from %d", known)
 		}
 	})
@@ -339,7 +339,7 @@
 func TestAChangeThatIsTooLargeForPiecesIsReadFromTheStore(t *testing.T) {
 	w, instances, _ := startZone(t, 3)
 	w.startUpstream("i-1", "orders")
-	w.configureVersion(7, strings.Repeat("long.", piecesMost*pieceBytes/5)+"example", "orders")
+	w.configureVersion(7, strings.Repeat("long.", maxFragments*fragmentBytes/5)+"example", "orders")
 	for _, in := range instances {
 		eventually(t, "the version is in force", func() bool { return in.gateway.control.snapshot.Load().Version == 7 })
 	}
@@ -351,7 +351,7 @@
 	w, instances, _ := startZone(t, 3)
 	w.startUpstream("i-1", "orders")
 	for _, in := range instances {
-		eventually(t, "the upstream is known", func() bool { return in.knows("i-1") })
+		eventually(t, "the upstream is known", func() bool { return in.hasEndpoint("i-1") })
 	}
 	w.store.SetFault(standin.Unavailable)
 	for _, in := range instances {
@@ -377,31 +377,31 @@
 				size = 2 * maxDatagramBytes
 			}
 			if rapid.IntRange(0, 60).Draw(t, "too large") == 0 {
-				size = piecesMost * pieceBytes
+				size = maxFragments * fragmentBytes
 				tooLarge++
 			}
 			items = append(items, platform.Item{Key: "servers/i-1", Value: make([]byte, size), Revision: at, Deleted: size == 0})
 		}
-		datagrams, err := newFeed(3, items, after, at).datagrams()
+		datagrams, err := newChangeBatch(3, items, after, at).datagrams()
 		if err != nil {
 			t.Fatal(err)
 		}
 		known, taken := after, 0
-		var pieces joiner
+		var assembler reassembler
 		for _, data := range datagrams {
 			if len(data) > maxDatagramBytes {
 				t.Fatalf("%d bytes", len(data))
 			}
-			if data[0] == storePiece {
-				p, err := decodeKind[piece](data[1:])
+			if data[0] == datagramFragment {
+				p, err := decodeKind[fragment](data[1:])
 				if err != nil {
 					t.Fatal(err)
 				}
-				if data = pieces.add(p); data == nil {
+				if data = assembler.add(p); data == nil {
 					continue
 				}
 			}
-			f, err := decodeKind[feed](data[1:])
+			f, err := decodeKind[changeBatch](data[1:])
 			if err != nil || f.After < known {
 				t.Fatalf("%+v, %v after revision %d", f, err, known)
 			}
@@ -420,18 +420,18 @@
 // Pieces come out of order, twice, not at all, or of a feed that another has replaced.
 func TestPiecesJoinInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var j joiner
+		var j reassembler
 		want := make(map[platform.Revision]string)
-		var all []piece
+		var all []fragment
 		for at := range platform.Revision(3) {
-			value := strings.Repeat(fmt.Sprint(at), rapid.IntRange(pieceBytes, 5*pieceBytes).Draw(t, "bytes"))
+			value := strings.Repeat(fmt.Sprint(at), rapid.IntRange(fragmentBytes, 5*fragmentBytes).Draw(t, "bytes"))
 			want[at] = value
-			datagrams, err := cutPieces(feed{From: 7, At: at}, []byte(value))
+			datagrams, err := fragmentBatch(changeBatch{From: 7, At: at}, []byte(value))
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, data := range datagrams {
-				p, err := decodeKind[piece](data[1:])
+				p, err := decodeKind[fragment](data[1:])
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -466,10 +466,10 @@
 		before := inControl(in, func(c *control) platform.Revision { return c.revision })
 		got := inControl(in, func(c *control) state {
 			at := c.revision + 9
-			c.take(time.Now(), feed{After: at - 1, At: at, Items: []feedItem{
+			c.handleChanges(time.Now(), changeBatch{After: at - 1, At: at, Items: []keyChange{
 				{Key: platform.ConfigKey, Value: config, Revision: at}, {Key: "servers/i-1", Revision: at, Deleted: true},
 			}})
-			return state{c.config.Version, c.revision, !c.behind.IsZero()}
+			return state{c.config.Version, c.revision, !c.behindSince.IsZero()}
 		})
 		if want := (state{9, before, true}); got != want {
 			t.Errorf("got %+v, want %+v", got, want)
@@ -485,34 +485,34 @@
 	in := w.startInstance("one", "a")
 	w.configure("h.example", "orders")
 	u := w.startUpstream("i-1", "orders")
-	eventually(t, "known", func() bool { return in.knows("i-1") })
+	eventually(t, "known", func() bool { return in.hasEndpoint("i-1") })
 	c := in.gateway.control
 	done := make(chan platform.Revision, 1)
 	entry := fmt.Appendf(nil, `{"service":"orders","address":%q,"zone":"a","version":"v1","capacity":4,"state":"ready","warmup_left":"0ms","sequence":4}`, u.addr)
 	c.post(func() {
 		now := time.Now()
 		later := c.revision + 10
-		c.take(now, feed{After: c.revision, At: later, Items: []feedItem{{Key: "servers/i-1", Revision: later, Deleted: true}}})
-		c.change(now, []platform.Item{{Key: "servers/i-1", Value: entry, Revision: later - 1}}, later-1)
-		c.replace(now, []platform.Item{{Key: "servers/i-1", Value: entry, Revision: later - 1}}, later-1)
+		c.handleChanges(now, changeBatch{After: c.revision, At: later, Items: []keyChange{{Key: "servers/i-1", Revision: later, Deleted: true}}})
+		c.applyChanges(now, []platform.Item{{Key: "servers/i-1", Value: entry, Revision: later - 1}}, later-1)
+		c.applyFullRead(now, []platform.Item{{Key: "servers/i-1", Value: entry, Revision: later - 1}}, later-1)
 		done <- c.revision - later
 	})
-	if back := <-done; back != 0 || in.knows("i-1") {
-		t.Errorf("the revision went by %d, the upstream that left is known: %t", back, in.knows("i-1"))
+	if back := <-done; back != 0 || in.hasEndpoint("i-1") {
+		t.Errorf("the revision went by %d, the upstream that left is known: %t", back, in.hasEndpoint("i-1"))
 	}
 }
 
 func FuzzDecodeFeed(f *testing.F) {
-	data, err := encodeKind(storeFeed, newFeed(1, []platform.Item{{Key: "servers/i-1", Value: []byte("{}"), Revision: 7}}, 6, 7))
+	data, err := encodeKind(datagramChanges, newChangeBatch(1, []platform.Item{{Key: "servers/i-1", Value: []byte("{}"), Revision: 7}}, 6, 7))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(data)
 	f.Add([]byte{})
-	f.Add([]byte{storeFeed, 0x85})
+	f.Add([]byte{datagramChanges, 0x85})
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		if len(data) > 0 {
-			_, _ = decodeKind[feed](data[1:])
+			_, _ = decodeKind[changeBatch](data[1:])
 		}
 	})
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follower.go
@@ -18,14 +18,14 @@
 	// watchWait is how long a watch waits for a change; a dead connection shows by keep-alives.
 	watchWait = 25 * time.Second
 	// pauseParts divides the time in which a change must be in force: a part of it gathers changes into one call.
-	pauseParts = 4
+	batchDelayDivisor = 4
 	// firstRetry and lastRetry bound the pause after a failed call; it doubles.
-	firstRetry = 50 * time.Millisecond
-	lastRetry  = 400 * time.Millisecond
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = 400 * time.Millisecond
 	// idleRetry is the longest pause of an instance whose turn to follow the store it is not.
-	idleRetry = 1600 * time.Millisecond
+	maxIdleRetryDelay = 1600 * time.Millisecond
 	// missedWait is how long a look for missed changes waits: they are there already.
-	missedWait = 20 * time.Millisecond
+	missedWatchWait = 20 * time.Millisecond
 	// firstStartWait is how long an instance waits to read the store when the whole fleet starts
 	// for the first time: all have registered by then, and one read tells of all.
 	firstStartWait = 1200 * time.Millisecond
@@ -37,41 +37,41 @@
 )
 
 // everything is the prefix of all keys: one watch carries all that an instance follows.
-const everything = ""
+const allKeys = ""
 
 // follower keeps the control loop in step with the platform's store.
 type follower struct {
-	store   *platform.Store
-	control *control
-	log     *slog.Logger
-	reach   *reach
-	pause   func() time.Duration // After each change, before the next watch.
-	wait    time.Duration        // Before the first read.
+	store      *platform.Store
+	control    *control
+	log        *slog.Logger
+	health     *storeHealth
+	batchDelay func() time.Duration // After each change, before the next watch.
+	wait       time.Duration        // Before the first read.
 }
 
 // reach tells whether the store answers, by the calls of the follower and the registrar.
-type reach struct {
+type storeHealth struct {
 	log     *slog.Logger
 	control *control
 
-	mu   sync.Mutex
-	lost time.Time // Zero while the store answers.
+	mu           sync.Mutex
+	failingSince time.Time // Zero while the store answers.
 }
 
 // report takes in how a call ended, and tells whether the store is back with it.
-func (r *reach) report(err error) (regained bool) {
+func (r *storeHealth) record(err error) (recovered bool) {
 	if err != nil {
-		r.control.post(func() { r.control.trouble = time.Now() })
+		r.control.post(func() { r.control.lastStoreError = time.Now() })
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case err != nil && r.lost.IsZero():
-		r.lost = time.Now()
+	case err != nil && r.failingSince.IsZero():
+		r.failingSince = time.Now()
 		r.log.Warn("store lost", "error", err.Error())
-	case err == nil && !r.lost.IsZero():
-		r.log.Info("store regained", "after_ms", time.Since(r.lost).Milliseconds())
-		r.lost = time.Time{}
+	case err == nil && !r.failingSince.IsZero():
+		r.log.Info("store regained", "after_ms", time.Since(r.failingSince).Milliseconds())
+		r.failingSince = time.Time{}
 		return true
 	}
 	return false
@@ -79,72 +79,72 @@
 
 // run keeps the control loop in step until ctx ends.
 func (f *follower) run(ctx context.Context) {
-	retry := firstRetry
+	delayAfterError := initialRetryDelay
 	var at platform.Revision
 	sleep(ctx, f.wait)
-	read, proven := false, false // proven: the store has answered since the duty fell to this instance.
+	synced, answered := false, false // proven: the store has answered since the duty fell to this instance.
 	for ctx.Err() == nil {
-		at = max(at, platform.Revision(f.control.known.Load()))
+		at = max(at, platform.Revision(f.control.knownRevision.Load()))
 		var err error
-		pause := time.Duration(0)
+		delay := time.Duration(0)
 		switch {
-		case !read && (f.control.onDuty.Load() || !f.control.inStep.Load()):
+		case !synced && (f.control.shouldFollow.Load() || !f.control.upToDate.Load()):
 			at, err = f.readAll(ctx)
-			pause = f.pause()
-		case f.control.onDuty.Load() && !proven:
+			delay = f.batchDelay()
+		case f.control.shouldFollow.Load() && !answered:
 			at, err = f.readMissed(ctx, at)
-		case f.control.onDuty.Load():
+		case f.control.shouldFollow.Load():
 			at, err = f.watch(ctx, at)
 		default:
-			at, err = f.listen(ctx, at)
+			at, err = f.awaitChanges(ctx, at)
 		}
 		// A watch that was cut may have missed changes, whatever it says of its history.
-		read, proven = err == nil || errors.Is(err, errTurned), err == nil
+		synced, answered = err == nil || errors.Is(err, errFollowChanged), err == nil
 		switch {
-		case errors.Is(err, errTurned), errors.Is(err, errKicked):
+		case errors.Is(err, errFollowChanged), errors.Is(err, errResync):
 			continue
 		case errors.Is(err, platform.ErrCompacted):
 			f.log.Warn("history of the store lost", "after", uint64(at))
 			continue
 		}
-		f.control.post(func() { f.control.follows(err == nil) })
-		if f.reach.report(err); err == nil {
-			retry = firstRetry
-			sleep(ctx, pause)
+		f.control.post(func() { f.control.setFollowing(err == nil) })
+		if f.health.record(err); err == nil {
+			delayAfterError = initialRetryDelay
+			sleep(ctx, delay)
 			continue
 		}
-		sleep(ctx, retry)
-		retry = min(2*retry, f.longestRetry())
+		sleep(ctx, delayAfterError)
+		delayAfterError = min(2*delayAfterError, f.retryDelayLimit())
 	}
 }
 
 // longestRetry returns the longest pause after a failed call.
-func (f *follower) longestRetry() time.Duration {
-	if f.control.inLine.Load() {
-		return lastRetry
+func (f *follower) retryDelayLimit() time.Duration {
+	if f.control.preferredFollower.Load() {
+		return maxRetryDelay
 	}
-	return idleRetry
+	return maxIdleRetryDelay
 }
 
 // readAll reads every key and hands it to the control loop.
 func (f *follower) readAll(ctx context.Context) (platform.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	asked := time.Now()
-	items, at, err := f.store.Range(ctx, everything)
+	requestedAt := time.Now()
+	items, at, err := f.store.Range(ctx, allKeys)
 	if err != nil {
 		return 0, err
 	}
 	f.control.post(func() {
-		f.control.pause.Refreshed(asked)
-		f.control.replace(time.Now(), items, at)
+		f.control.pause.Refreshed(requestedAt)
+		f.control.applyFullRead(time.Now(), items, at)
 	})
 	return at, nil
 }
 
 var (
-	errKicked = errors.New("the watch is begun anew")
-	errTurned = errors.New("another instance follows the store, or none does")
+	errResync        = errors.New("the watch is begun anew")
+	errFollowChanged = errors.New("another instance follows the store, or none does")
 )
 
 // watch waits for changes after a revision, hands them to the control loop and passes them on.
@@ -155,61 +155,61 @@
 	defer close(ended)
 	go func() {
 		select {
-		case <-f.control.kick:
-			cancel(errKicked)
-		case <-f.control.turn:
-			cancel(errTurned)
+		case <-f.control.resync:
+			cancel(errResync)
+		case <-f.control.followChanged:
+			cancel(errFollowChanged)
 		case <-ended:
 		}
 	}()
-	items, at, err := f.store.Watch(ctx, everything, after, watchWait)
+	items, at, err := f.store.Watch(ctx, allKeys, after, watchWait)
 	if err != nil {
-		if cause := context.Cause(ctx); errors.Is(cause, errKicked) || errors.Is(cause, errTurned) {
+		if cause := context.Cause(ctx); errors.Is(cause, errResync) || errors.Is(cause, errFollowChanged) {
 			return after, cause
 		}
 		return after, err
 	}
 	if len(items) > 0 {
-		f.handOver(items, after, at)
-		sleep(ctx, f.pause())
+		f.deliver(items, after, at)
+		sleep(ctx, f.batchDelay())
 	}
 	return max(after, at), nil
 }
 
 // handOver hands changes to the control loop, which passes them on where that is its duty.
-func (f *follower) handOver(items []platform.Item, after, at platform.Revision) {
+func (f *follower) deliver(items []platform.Item, after, at platform.Revision) {
 	f.control.post(func() {
-		if f.control.onDuty.Load() {
-			f.control.pass(items, after, at)
+		if f.control.shouldFollow.Load() {
+			f.control.forwardChanges(items, after, at)
 		}
-		f.control.change(time.Now(), items, at)
+		f.control.applyChanges(time.Now(), items, at)
 	})
 }
 
 // listen waits while others tell of the store's changes, until it lacks some; those it reads.
-func (f *follower) listen(ctx context.Context, after platform.Revision) (platform.Revision, error) {
+func (f *follower) awaitChanges(ctx context.Context, after platform.Revision) (platform.Revision, error) {
 	select {
 	case <-ctx.Done():
-		return after, errTurned
-	case <-f.control.turn:
-		return after, errTurned
-	case whole := <-f.control.kick:
-		if whole {
-			return after, errKicked
+		return after, errFollowChanged
+	case <-f.control.followChanged:
+		return after, errFollowChanged
+	case full := <-f.control.resync:
+		if full {
+			return after, errResync
 		}
 	}
-	return f.readMissed(ctx, max(after, platform.Revision(f.control.known.Load())))
+	return f.readMissed(ctx, max(after, platform.Revision(f.control.knownRevision.Load())))
 }
 
 // readMissed reads the changes after a revision that are there already.
 func (f *follower) readMissed(ctx context.Context, after platform.Revision) (platform.Revision, error) {
-	short, cancel := context.WithTimeout(ctx, readTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	items, at, err := f.store.Watch(short, everything, after, missedWait)
+	items, at, err := f.store.Watch(readCtx, allKeys, after, missedWatchWait)
 	if err != nil {
 		return after, err
 	}
-	f.handOver(items, after, at)
+	f.deliver(items, after, at)
 	return max(after, at), nil
 }
 
@@ -225,12 +225,12 @@
 
 // registrar keeps the instance's registration in the platform's store.
 type registrar struct {
-	store  *platform.Store
-	key    string
-	record memberRecord
-	log    *slog.Logger
-	reach  *reach
-	gone   chan struct{} // Told when the registration went.
+	store        *platform.Store
+	key          string
+	record       memberRecord
+	log          *slog.Logger
+	health       *storeHealth
+	deregistered chan struct{} // Told when the registration went.
 }
 
 // run registers the instance and renews its lease until ctx ends, and then ends it.
@@ -251,11 +251,11 @@
 			r.log.Warn("lease of the registration ended", "lease", uint64(lease))
 			lease, wait = 0, 0
 		case err != nil:
-			wait = lastRetry
-			r.reach.report(err)
-		case r.reach.report(nil):
+			wait = maxRetryDelay
+			r.health.record(err)
+		case r.health.record(nil):
 			// A watch that was begun while the store was silent may wait in vain.
-			r.reach.control.askAnew(true)
+			r.health.control.requestResync(true)
 		}
 		r.wait(ctx, wait, &lease)
 	}
@@ -276,7 +276,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-r.gone:
+	case <-r.deregistered:
 		*lease = 0
 	}
 }
--- a/internal/gateway/pieces.go
+++ b/internal/gateway/fragment.go
@@ -7,16 +7,16 @@
 
 const (
 	// pieceBytes of a feed go into one datagram, beside the piece's own fields.
-	pieceBytes = maxDatagramBytes - 64
+	fragmentBytes = maxDatagramBytes - 64
 	// piecesMost bounds a feed that is sent in pieces, so that a change of the store does not
 	// fill the zone's links. A larger one is read from the store by each.
-	piecesMost = 24
+	maxFragments = 24
 )
 
 // piece is a part of a feed that fits no datagram: one change of the store, mostly a
 // configuration. Without pieces each instance reads it itself, and calls of the store grow
 // with instances times configurations.
-type piece struct {
+type fragment struct {
 	_     struct{} `cbor:",toarray"`
 	From  dispatch.PeerID
 	At    platform.Revision // Of the feed; it names the feed.
@@ -26,15 +26,15 @@
 }
 
 // cutPieces cuts an encoded feed into datagrams; none where it is too large.
-func cutPieces(f feed, data []byte) ([][]byte, error) {
-	count := (len(data) + pieceBytes - 1) / pieceBytes
-	if count > piecesMost {
+func fragmentBatch(b changeBatch, data []byte) ([][]byte, error) {
+	count := (len(data) + fragmentBytes - 1) / fragmentBytes
+	if count > maxFragments {
 		return nil, nil
 	}
 	var datagrams [][]byte
 	for k := range count {
-		part := data[k*pieceBytes : min((k+1)*pieceBytes, len(data))]
-		datagram, err := encodeKind(storePiece, piece{From: f.From, At: f.At, Index: k, Count: count, Data: part})
+		part := data[k*fragmentBytes : min((k+1)*fragmentBytes, len(data))]
+		datagram, err := encodeKind(datagramFragment, fragment{From: b.From, At: b.At, Index: k, Count: count, Data: part})
 		if err != nil {
 			return nil, err
 		}
@@ -44,47 +44,47 @@
 }
 
 // valid tells whether a piece can be one of a feed.
-func (p *piece) valid() bool {
-	return p.Count >= 1 && p.Count <= piecesMost && p.Index >= 0 && p.Index < p.Count
+func (frag *fragment) valid() bool {
+	return frag.Count >= 1 && frag.Count <= maxFragments && frag.Index >= 0 && frag.Index < frag.Count
 }
 
 // joiner puts feeds together from their pieces, one feed of each sender at a time: the newest.
-type joiner struct {
-	open map[dispatch.PeerID]*joining
+type reassembler struct {
+	partial map[dispatch.PeerID]*partialBatch
 }
 
-type joining struct {
+type partialBatch struct {
 	at      platform.Revision
 	parts   [][]byte
 	missing int
 }
 
 // sendersMost bounds the feeds that are put together at a time: those of a zone's followers.
-const sendersMost = 8
+const maxSenders = 8
 
 // add takes in a piece and returns the encoded feed once it is whole.
-func (j *joiner) add(p piece) []byte {
-	if !p.valid() {
+func (r *reassembler) add(frag fragment) []byte {
+	if !frag.valid() {
 		return nil
 	}
-	if j.open == nil || len(j.open) >= sendersMost && j.open[p.From] == nil {
-		j.open = make(map[dispatch.PeerID]*joining)
+	if r.partial == nil || len(r.partial) >= maxSenders && r.partial[frag.From] == nil {
+		r.partial = make(map[dispatch.PeerID]*partialBatch)
 	}
-	f := j.open[p.From]
-	if f == nil || p.At > f.at {
-		f = &joining{at: p.At, parts: make([][]byte, p.Count), missing: p.Count}
-		j.open[p.From] = f
+	batch := r.partial[frag.From]
+	if batch == nil || frag.At > batch.at {
+		batch = &partialBatch{at: frag.At, parts: make([][]byte, frag.Count), missing: frag.Count}
+		r.partial[frag.From] = batch
 	}
-	if p.At < f.at || p.Count != len(f.parts) || f.parts[p.Index] != nil {
+	if frag.At < batch.at || frag.Count != len(batch.parts) || batch.parts[frag.Index] != nil {
 		return nil
 	}
-	f.parts[p.Index] = p.Data
-	if f.missing--; f.missing > 0 {
+	batch.parts[frag.Index] = frag.Data
+	if batch.missing--; batch.missing > 0 {
 		return nil
 	}
-	delete(j.open, p.From)
+	delete(r.partial, frag.From)
 	var data []byte
-	for _, part := range f.parts {
+	for _, part := range batch.parts {
 		data = append(data, part...)
 	}
 	return data
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,32 +20,32 @@
 
 // Gateway is one running instance.
 type Gateway struct {
-	path      string    // Of the settings file.
-	loaded    time.Time // When the settings file was changed last, as of its last reading.
-	settings  atomic.Pointer[Settings]
-	logs      *logWriter
-	log       *slog.Logger
-	store     *platform.Store
-	control   *control
-	forwarder *forward.Forwarder
-	metrics   *metrics
-	server    *callers.Server
-	sides     []*side
-	socket    *peerSocket
-	record    memberRecord
-	joiner    joiner // Owned by the goroutine that receives datagrams.
-	leaving   atomic.Bool
-	started   time.Time
+	path             string    // Of the settings file.
+	settingsModified time.Time // When the settings file was changed last, as of its last reading.
+	settings         atomic.Pointer[Settings]
+	logs             *logWriter
+	log              *slog.Logger
+	store            *platform.Store
+	control          *control
+	forwarder        *forward.Forwarder
+	metrics          *metrics
+	server           *callers.Server
+	auxServers       []*auxServer
+	socket           *peerSocket
+	record           memberRecord
+	reassembler      reassembler // Owned by the goroutine that receives datagrams.
+	leaving          atomic.Bool
+	started          time.Time
 }
 
 // New reads the settings and opens the listeners. Logs are written to out.
 func New(path string, out io.Writer) (*Gateway, error) {
-	loaded := modified(path) // Before the file is read: a change meanwhile is seen later.
+	settingsModified := modified(path) // Before the file is read: a change meanwhile is seen later.
 	s, err := LoadSettings(path)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{path: path, loaded: loaded, started: time.Now(), metrics: newMetrics()}
+	g := &Gateway{path: path, settingsModified: settingsModified, started: time.Now(), metrics: newMetrics()}
 	g.settings.Store(s)
 	if err := g.listen(s, out); err != nil {
 		g.close()
@@ -74,12 +74,12 @@
 	if err != nil {
 		return fmt.Errorf("address for peers %q: %w", s.Listen.Peers, err)
 	}
-	g.record = memberRecord{Peer: g.control.peer, Zone: s.Instance.Zone, Callers: s.Listen.Callers, Peers: peers, Link: s.Instance.Link}
+	g.record = memberRecord{Peer: g.control.peer, Zone: s.Instance.Zone, CallerAddr: s.Listen.Callers, PeerAddr: peers, LinkMbps: s.Instance.LinkMbps}
 	g.control.self = g.record
-	return g.listenSides(s)
+	return g.listenAuxServers(s)
 }
 
-func (g *Gateway) listenSides(s *Settings) error {
+func (g *Gateway) listenAuxServers(s *Settings) error {
 	handlers := []struct {
 		addr    string
 		handler fasthttp.RequestHandler
@@ -92,11 +92,11 @@
 		if h.addr == "" {
 			continue
 		}
-		side, err := listenSide(h.addr, h.handler)
+		aux, err := listenAux(h.addr, h.handler)
 		if err != nil {
 			return err
 		}
-		g.sides = append(g.sides, side)
+		g.auxServers = append(g.auxServers, aux)
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 	if g.socket != nil {
 		_ = g.socket.conn.Close()
 	}
-	for _, s := range g.sides {
+	for _, s := range g.auxServers {
 		_ = s.close()
 	}
 	if g.logs != nil {
@@ -127,51 +127,51 @@
 func (g *Gateway) Run(ctx context.Context, reload <-chan os.Signal) error {
 	s := g.current()
 	g.log.Info("start", "callers", s.Listen.Callers, "zone", s.Instance.Zone, "store", s.Store.Address, "life", uint64(g.control.peer))
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	listed, unlist := context.WithCancel(life)
+	lifetime, endLifetime := context.WithCancel(context.WithoutCancel(ctx))
+	registered, deregister := context.WithCancel(lifetime)
 	failed := make(chan error, 1)
 	var tasks conc.WaitGroup
-	tasks.Go(func() { g.control.run(life) })
-	reach := &reach{log: g.log, control: g.control}
+	tasks.Go(func() { g.control.run(lifetime) })
+	health := &storeHealth{log: g.log, control: g.control}
 	tasks.Go(func() {
-		f := &follower{store: g.store, control: g.control, log: g.log, reach: reach, pause: g.watchPause}
+		f := &follower{store: g.store, control: g.control, log: g.log, health: health, batchDelay: g.batchDelay}
 		if s.Instance.FirstStart {
 			f.wait = firstStartWait
 		}
-		f.run(life)
+		f.run(lifetime)
 	})
 	registration := make(chan struct{})
 	tasks.Go(func() {
 		defer close(registration)
-		r := &registrar{store: g.store, key: g.control.members.self, record: g.record, log: g.log, reach: reach, gone: g.control.unlisted}
-		r.run(listed)
+		r := &registrar{store: g.store, key: g.control.members.self, record: g.record, log: g.log, health: health, deregistered: g.control.deregistered}
+		r.run(registered)
 	})
-	tasks.Go(func() { g.socket.receive(g.hear) })
-	for _, side := range g.sides {
-		tasks.Go(func() { fail(failed, side.run()) })
+	tasks.Go(func() { g.socket.receive(g.handleDatagram) })
+	for _, aux := range g.auxServers {
+		tasks.Go(func() { reportFailure(failed, aux.run()) })
 	}
-	tasks.Go(func() { fail(failed, g.server.Run()) })
-	tasks.Go(func() { g.watchSettings(life, reload) })
-	tasks.Go(func() { g.sweep(life) })
+	tasks.Go(func() { reportFailure(failed, g.server.Run()) })
+	tasks.Go(func() { g.watchSettings(lifetime, reload) })
+	tasks.Go(func() { g.sweep(lifetime) })
 
 	var err error
 	select {
 	case <-ctx.Done():
-		unlist()
+		deregister()
 		err = g.stop()
 		<-registration
 	case err = <-failed:
-		unlist()
+		deregister()
 	}
-	end()
+	endLifetime()
 	g.log.Info("stop", "error", errorText(err))
 	g.close()
-	_ = g.server.Shutdown(life)
+	_ = g.server.Shutdown(lifetime)
 	tasks.Wait()
 	return err
 }
 
-func fail(to chan<- error, err error) {
+func reportFailure(to chan<- error, err error) {
 	if err != nil {
 		select {
 		case to <- err:
@@ -188,75 +188,75 @@
 }
 
 // hear takes in a datagram.
-func (g *Gateway) hear(data []byte) {
+func (g *Gateway) handleDatagram(data []byte) {
 	if len(data) == 0 {
 		return
 	}
 	switch data[0] {
-	case storeFeed:
-		hearKind(g, data, g.control.take)
-	case storePiece:
-		g.hearPiece(data)
-	case storeMissed:
-		hearKind(g, data, g.control.hearMissed)
-	case keeperRoll:
-		hearKind(g, data, g.control.hearRoll)
-	case brokerQuestion:
-		hearKind(g, data, g.control.answer)
-	case brokerReply:
-		hearKind(g, data, g.control.hearReply)
-	case brokerEnding:
-		hearKind(g, data, g.control.hearEnding)
+	case datagramChanges:
+		decodeAndPost(g, data, g.control.handleChanges)
+	case datagramFragment:
+		g.handleFragment(data)
+	case datagramResendRequest:
+		decodeAndPost(g, data, g.control.handleResendRequest)
+	case datagramLiveness:
+		decodeAndPost(g, data, g.control.handleLivenessReport)
+	case datagramPlacementRequest:
+		decodeAndPost(g, data, g.control.handlePlacementRequest)
+	case datagramPlacementReply:
+		decodeAndPost(g, data, g.control.handlePlacementReply)
+	case datagramGrantEnd:
+		decodeAndPost(g, data, g.control.handleGrantEnd)
 	default:
-		g.hearMessages(data)
+		g.handleMessages(data)
 	}
 }
 
 // hearKind has the control loop take in a datagram of one message.
-func hearKind[T any](g *Gateway, data []byte, take func(now time.Time, m T)) {
+func decodeAndPost[T any](g *Gateway, data []byte, handle func(now time.Time, m T)) {
 	m, err := decodeKind[T](data[1:])
 	if err != nil {
 		g.log.Warn("datagram ignored", "error", err.Error())
 		return
 	}
-	g.control.post(func() { take(time.Now(), m) })
+	g.control.post(func() { handle(time.Now(), m) })
 }
 
 // hearMessages takes in what instances of a small fleet tell all others.
-func (g *Gateway) hearMessages(data []byte) {
+func (g *Gateway) handleMessages(data []byte) {
 	list, err := decodeMessages(data)
 	if err != nil {
 		g.log.Warn("datagram ignored", "error", err.Error())
 		return
 	}
-	if data[0] != forReceiver {
-		g.control.relay.pass(data[1:], data[0] == forZoneNow)
+	if data[0] != datagramMessages {
+		g.control.relay.forward(data[1:], data[0] == datagramRelayNow)
 	}
 	g.control.post(func() {
 		now := time.Now()
 		for i := range list {
-			g.control.hear(now, &list[i])
+			g.control.handleMessage(now, &list[i])
 		}
 	})
 }
 
 // hearPiece takes in a piece of changes of the store. The goroutine that receives datagrams
 // puts them together.
-func (g *Gateway) hearPiece(data []byte) {
-	p, err := decodeKind[piece](data[1:])
+func (g *Gateway) handleFragment(data []byte) {
+	frag, err := decodeKind[fragment](data[1:])
 	if err != nil {
 		g.log.Warn("datagram ignored", "error", err.Error())
 		return
 	}
-	if whole := g.joiner.add(p); whole != nil {
-		hearKind(g, whole, g.control.take)
+	if encoded := g.reassembler.add(frag); encoded != nil {
+		decodeAndPost(g, encoded, g.control.handleChanges)
 	}
 }
 
 // watchPause returns how long changes of the store are gathered.
-func (g *Gateway) watchPause() time.Duration {
+func (g *Gateway) batchDelay() time.Duration {
 	p := g.current().Promises
-	return min(p.ApplyWithin, p.DrainWithin) / pauseParts
+	return min(p.ApplyWithin, p.DrainWithin) / batchDelayDivisor
 }
 
 // sweepInterval is how often idle connections to upstreams are looked at.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 	"github.com/damaskcove/damaskcove/platform/standin"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // world is a store, upstreams and instances on the loopback address.
 type world struct {
@@ -148,7 +148,7 @@
 		cancel()
 		select {
 		case <-in.done:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			w.t.Errorf("instance %s does not stop", id)
 		}
 	})
@@ -229,7 +229,7 @@
 var nextRequest atomic.Int64
 
 // ask sends a request to an instance and returns the status, the body and the id.
-func (in *instance) ask(t *testing.T, host, path string) (int, string, string) {
+func (in *instance) send(t *testing.T, host, path string) (int, string, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+in.gateway.current().Listen.Callers+path, nil)
 	if err != nil {
@@ -267,7 +267,7 @@
 
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
@@ -293,7 +293,7 @@
 func TestWholePath(t *testing.T) {
 	w := newWorld(t)
 	in := w.startInstance("one", "a")
-	if status, _, _ := in.ask(t, "h.example", "/x"); status != http.StatusServiceUnavailable {
+	if status, _, _ := in.send(t, "h.example", "/x"); status != http.StatusServiceUnavailable {
 		t.Errorf("without a configuration: status %d", status)
 	}
 	if in.ready(t) {
@@ -303,9 +303,12 @@
 	w.startUpstream("i-1", "orders")
 	w.store.Put("servers/i-foreign", []byte("\x00"))
 	eventually(t, "ready", func() bool { return in.ready(t) })
-	eventually(t, "served", func() bool { status, body, _ := in.ask(t, "H.example:80", "/x"); return status == 200 && body == "i-1" })
-	_, _, id := in.ask(t, "h.example", "/x?q=1")
-	if status, _, _ := in.ask(t, "other.example", "/x"); status != http.StatusNotFound {
+	eventually(t, "served", func() bool {
+		status, body, _ := in.send(t, "H.example:80", "/x")
+		return status == 200 && body == "i-1"
+	})
+	_, _, id := in.send(t, "h.example", "/x?q=1")
+	if status, _, _ := in.send(t, "other.example", "/x"); status != http.StatusNotFound {
 		t.Errorf("another host: status %d", status)
 	}
 	eventually(t, "the request is in the log", func() bool { return strings.Contains(in.logs.String(), `"request":"`+id+`"`) })
@@ -330,11 +333,11 @@
 			"odd":{"host":"h.example","path_prefix":"/odd/","route_kind":"unsafe","timeout":"5s","target_latency":"1s","service":{"name":"orders"}}}}`, version))
 	}
 	eventually(t, "both are in force", func() bool { return in.gateway.control.snapshot.Load().Version == 2 })
-	eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == 200 })
-	if status, _, _ := in.ask(t, "h.example", "/kind/x"); status != http.StatusOK {
+	eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == 200 })
+	if status, _, _ := in.send(t, "h.example", "/kind/x"); status != http.StatusOK {
 		t.Errorf("a kind that is not known: status %d", status)
 	}
-	if status, _, _ := in.ask(t, "h.example", "/odd/x"); status != http.StatusServiceUnavailable {
+	if status, _, _ := in.send(t, "h.example", "/odd/x"); status != http.StatusServiceUnavailable {
 		t.Errorf("a service that is not understood: status %d", status)
 	}
 	eventually(t, "it is logged", func() bool { return strings.Contains(in.logs.String(), "route odd: service") })
@@ -352,8 +355,8 @@
 	for _, in := range []*instance{a, b} {
 		eventually(t, "the other is known", func() bool { return len(in.gateway.control.snapshot.Load().alive) == 1 })
 	}
-	eventually(t, "one sees the failure", func() bool { _, _, _ = a.ask(t, "h.example", "/x"); return bad.requests.Load() > 0 })
-	eventually(t, "one sees a success", func() bool { status, _, _ := a.ask(t, "h.example", "/x"); return status == 200 })
+	eventually(t, "one sees the failure", func() bool { _, _, _ = a.send(t, "h.example", "/x"); return bad.requests.Load() > 0 })
+	eventually(t, "one sees a success", func() bool { status, _, _ := a.send(t, "h.example", "/x"); return status == 200 })
 	eventually(t, "two has heard of it", func() bool {
 		heard := make(chan bool, 1)
 		b.gateway.control.post(func() {
@@ -363,7 +366,7 @@
 	})
 	before := bad.requests.Load()
 	for range 5 {
-		if status, body, id := b.ask(t, "h.example", "/x"); status != 200 || body != good.id {
+		if status, body, id := b.send(t, "h.example", "/x"); status != 200 || body != good.id {
 			t.Errorf("request %s: %d %q", id, status, body)
 		}
 	}
@@ -378,16 +381,16 @@
 	w.configureVersion(5, "h.example", "orders")
 	w.startUpstream("i-1", "orders")
 	w.startUpstream("i-2", "bookings")
-	eventually(t, "the first is in force", func() bool { _, body, _ := in.ask(t, "h.example", "/x"); return body == "i-1" })
+	eventually(t, "the first is in force", func() bool { _, body, _ := in.send(t, "h.example", "/x"); return body == "i-1" })
 	w.configureVersion(9, "h.example", "bookings")
-	eventually(t, "the second is in force", func() bool { _, body, _ := in.ask(t, "h.example", "/x"); return body == "i-2" })
+	eventually(t, "the second is in force", func() bool { _, body, _ := in.send(t, "h.example", "/x"); return body == "i-2" })
 	w.configureVersion(7, "h.example", "orders")
 	w.store.Put("op/config", []byte("{"))
 	w.store.Compact()
 	w.store.SetFault(standin.NoFault) // Cuts the watch.
 	eventually(t, "everything is read anew", func() bool { return w.store.Calls("range") >= 2 })
 	for range 20 {
-		if _, body, id := in.ask(t, "h.example", "/x"); body != "i-2" {
+		if _, body, id := in.send(t, "h.example", "/x"); body != "i-2" {
 			t.Fatalf("request %s is handled as version 7 allows: %q", id, body)
 		}
 	}
@@ -400,7 +403,7 @@
 	leaving, removed := w.startUpstream("i-1", "orders"), w.startUpstream("i-2", "orders")
 	w.startUpstream("i-3", "orders")
 	eventually(t, "all are used", func() bool {
-		_, _, _ = in.ask(t, "h.example", "/x")
+		_, _, _ = in.send(t, "h.example", "/x")
 		return leaving.requests.Load() > 0 && removed.requests.Load() > 0
 	})
 	w.register(leaving, "orders", "draining")
@@ -408,7 +411,7 @@
 	eventually(t, "only the third is used", func() bool {
 		before := leaving.requests.Load() + removed.requests.Load()
 		for range 20 {
-			_, _, _ = in.ask(t, "h.example", "/x")
+			_, _, _ = in.send(t, "h.example", "/x")
 		}
 		return leaving.requests.Load()+removed.requests.Load() == before
 	})
@@ -421,20 +424,20 @@
 			in := w.startInstance("one", "a")
 			w.configure("h.example", "orders")
 			w.startUpstream("i-1", "orders")
-			eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == 200 })
+			eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == 200 })
 			w.store.SetFault(fault)
 			eventually(t, "the loss is in the log", func() bool { return strings.Contains(in.logs.String(), `"msg":"store lost"`) })
 			// The registration lapses with the store and comes back after its return.
 			w.store.Delete("servers/i-1")
-			if status, _, _ := in.ask(t, "h.example", "/x"); status != 200 {
+			if status, _, _ := in.send(t, "h.example", "/x"); status != 200 {
 				t.Errorf("while the store is away: status %d", status)
 			}
 			w.store.SetFault(standin.NoFault)
 			eventually(t, "the return is in the log", func() bool { return strings.Contains(in.logs.String(), `"msg":"store regained"`) })
-			if status, _, _ := in.ask(t, "h.example", "/x"); status != 200 {
+			if status, _, _ := in.send(t, "h.example", "/x"); status != 200 {
 				t.Errorf("just after the store's return: status %d", status)
 			}
-			eventually(t, "a registration that stays away is gone", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == 503 })
+			eventually(t, "a registration that stays away is gone", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == 503 })
 		})
 	}
 }
@@ -454,13 +457,13 @@
 	u := w.startUpstream("i-1", "orders")
 	both := func() bool { return len(staying.resolves(t)) == 2 && leaving.ready(t) }
 	eventually(t, "both are handed out", both)
-	eventually(t, "served", func() bool { status, _, _ := leaving.ask(t, "h.example", "/x"); return status == 200 })
+	eventually(t, "served", func() bool { status, _, _ := leaving.send(t, "h.example", "/x"); return status == 200 })
 	hold := make(chan struct{})
 	u.hold.Store(&hold)
 	before := u.requests.Load()
 	answered := make(chan int, 1)
 	go func() {
-		status, _, _ := leaving.ask(t, "h.example", "/x")
+		status, _, _ := leaving.send(t, "h.example", "/x")
 		answered <- status
 	}()
 	eventually(t, "the request is at its upstream", func() bool { return u.requests.Load() > before })
@@ -479,7 +482,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the instance does not stop")
 	}
 	if keys := w.store.Keys(memberPrefix); len(keys) != 1 {
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -18,7 +18,7 @@
 
 // unknownRetryAfter is when a caller may come back to a route that is not understood: only a
 // change of the configuration helps.
-const unknownRetryAfter = 2 * time.Second
+const unsupportedRouteRetryAfter = 2 * time.Second
 
 // handler serves callers' requests.
 type handler struct {
@@ -37,7 +37,7 @@
 // Refuse implements callers.Handler.
 func (h *handler) Refuse(code result.Code, detail string, resp *fasthttp.Response) {
 	forward.Refuse(resp, "", code, detail, 0)
-	h.metrics.answered(code, 0)
+	h.metrics.recordAnswer(code, 0)
 	h.log.Warn("request not read", "code", code, "detail", detail)
 }
 
@@ -49,7 +49,7 @@
 		h.refuse(r, id, resp, result.CodeNotReady, "", startingRetryAfter)
 		return
 	}
-	if s.doubtful(time.Now()) {
+	if s.mayBeStale(time.Now()) {
 		h.refuse(r, id, resp, result.CodeNotReady, "the process has stood still", startingRetryAfter)
 		return
 	}
@@ -61,7 +61,7 @@
 		return
 	}
 	if len(route.Split) == 0 {
-		h.refuse(r, id, resp, result.CodeNoEndpoint, "route "+route.Name+" is not understood", unknownRetryAfter)
+		h.refuse(r, id, resp, result.CodeNoEndpoint, "route "+route.Name+" is not understood", unsupportedRouteRetryAfter)
 		return
 	}
 	in := forward.Request{
@@ -72,20 +72,20 @@
 		in.Deadline = r.Arrived.Add(left)
 	}
 	report := h.forwarder.Serve(ctx, in, resp)
-	h.metrics.answered(report.Code, time.Since(r.Arrived))
+	h.metrics.recordAnswer(report.Code, time.Since(r.Arrived))
 	h.logRequest(ctx, &in, s, report)
 }
 
 func (h *handler) refuse(r callers.Request, id string, resp *fasthttp.Response, code result.Code, detail string, retryAfter time.Duration) {
 	forward.Refuse(resp, id, code, detail, retryAfter)
-	h.metrics.answered(code, time.Since(r.Arrived))
+	h.metrics.recordAnswer(code, time.Since(r.Arrived))
 	h.log.Info("request", "request", id, "code", code, "detail", detail, "host", string(r.HTTP.Header.Host()), "uri", string(r.HTTP.Header.RequestURI()))
 }
 
 // logRequest writes one line for a request.
 func (h *handler) logRequest(ctx context.Context, r *forward.Request, s *Snapshot, report forward.Report) {
-	plain := report.Code == result.CodeAnswered && report.Status < fasthttp.StatusInternalServerError && len(report.Attempts) == 1
-	if plain && !h.logAll() {
+	unremarkable := report.Code == result.CodeAnswered && report.Status < fasthttp.StatusInternalServerError && len(report.Attempts) == 1
+	if unremarkable && !h.logAll() {
 		return
 	}
 	h.log.LogAttrs(ctx, slog.LevelInfo, "request",
--- a/internal/gateway/incident_test.go
+++ b/internal/gateway/incident_test.go
@@ -19,7 +19,7 @@
 	in := w.startInstance("one", "a")
 	w.configure("h.example", "orders")
 	old, next := w.startUpstream("i-old", "orders"), w.startUpstream("i-next", "others")
-	eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
+	eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	watches := w.store.Calls("watch")
 	w.store.SetFault(standin.NoWatchEvents) // It cuts the watch; the next hears nothing.
 	eventually(t, "the instance watches again", func() bool { return w.store.Calls("watch") > watches })
@@ -27,7 +27,7 @@
 	w.configure("h.example", "others")
 	before := old.requests.Load()
 	eventually(t, "served again", func() bool {
-		status, body, id := in.ask(t, "h.example", "/x")
+		status, body, id := in.send(t, "h.example", "/x")
 		if status != http.StatusOK && status != http.StatusServiceUnavailable {
 			t.Errorf("request %s: status %d", id, status)
 		}
@@ -44,10 +44,10 @@
 	in := w.startInstance("one", "a")
 	w.configure("h.example", "orders")
 	w.startUpstream("i-1", "orders")
-	eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
+	eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	w.store.SetFault(standin.Unresponsive)
 	in.gateway.control.post(func() { time.Sleep(pause.MinPause + pause.MinPause/2) })
-	eventually(t, "served again", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
+	eventually(t, "served again", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 }
 
 // An instance is restarted after an upstream has left and another's registration was
@@ -58,32 +58,32 @@
 	w.configure("h.example", "orders")
 	left, stays := w.startUpstream("i-left", "orders"), w.startUpstream("i-stays", "orders")
 	eventually(t, "served by both", func() bool {
-		_, _, _ = in.ask(t, "h.example", "/x")
+		_, _, _ = in.send(t, "h.example", "/x")
 		return left.requests.Load() > 0 && stays.requests.Load() > 0
 	})
-	revision := platform.Revision(in.gateway.control.known.Load())
+	revision := platform.Revision(in.gateway.control.knownRevision.Load())
 	in.stop()
 	<-in.done
 	in.done <- nil
 	w.store.Delete("servers/" + left.id)
 	w.store.Compact()
 	again := w.startWith(in.settings, "one")
-	eventually(t, "served", func() bool { status, _, _ := again.ask(t, "h.example", "/x"); return status == http.StatusOK })
+	eventually(t, "served", func() bool { status, _, _ := again.send(t, "h.example", "/x"); return status == http.StatusOK })
 	w.register(left, "orders", "ready")
-	entry := feedItem{Key: "servers/" + left.id, Value: []byte(`{"service":"orders","address":"` + left.addr + `","zone":"a","version":"v1","capacity":4,"state":"ready","warmup_left":"0ms","sequence":9}`)}
+	entry := keyChange{Key: "servers/" + left.id, Value: []byte(`{"service":"orders","address":"` + left.addr + `","zone":"a","version":"v1","capacity":4,"state":"ready","warmup_left":"0ms","sequence":9}`)}
 	w.store.Delete("servers/" + left.id)
-	eventually(t, "the store is followed", func() bool { return platform.Revision(again.gateway.control.known.Load()) > revision+2 })
+	eventually(t, "the store is followed", func() bool { return platform.Revision(again.gateway.control.knownRevision.Load()) > revision+2 })
 	for back := range platform.Revision(4) {
 		entry.Revision = revision - back
-		data, err := encodeKind(storeFeed, feed{From: 99, After: 0, At: revision - back, Items: []feedItem{entry}})
+		data, err := encodeKind(datagramChanges, changeBatch{From: 99, After: 0, At: revision - back, Items: []keyChange{entry}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		again.gateway.hear(data)
+		again.gateway.handleDatagram(data)
 	}
 	before := left.requests.Load()
 	for range 30 {
-		if status, body, id := again.ask(t, "h.example", "/safe/x"); status != http.StatusOK || body != stays.id {
+		if status, body, id := again.send(t, "h.example", "/safe/x"); status != http.StatusOK || body != stays.id {
 			t.Errorf("request %s: %d %q", id, status, body)
 		}
 	}
@@ -108,7 +108,7 @@
 	}
 	done := make(chan answered, 1)
 	go func() {
-		status, body, _ := in.ask(t, "h.example", "/x")
+		status, body, _ := in.send(t, "h.example", "/x")
 		done <- answered{status, body}
 	}()
 	eventually(t, "the order runs", func() bool { return silent.requests.Load() == 1 })
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -22,44 +22,44 @@
 
 // memberRecord is what an instance registers.
 type memberRecord struct {
-	Peer    dispatch.PeerID `cbor:"1,keyasint"` // New at each start.
-	Zone    string          `cbor:"2,keyasint"`
-	Callers string          `cbor:"3,keyasint"`           // Where callers connect.
-	Peers   netip.AddrPort  `cbor:"4,keyasint"`           // Where datagrams go.
-	Link    float64         `cbor:"5,keyasint,omitempty"` // Mbit/s; 0 where it is not known.
+	Peer       dispatch.PeerID `cbor:"1,keyasint"` // New at each start.
+	Zone       string          `cbor:"2,keyasint"`
+	CallerAddr string          `cbor:"3,keyasint"`           // Where callers connect.
+	PeerAddr   netip.AddrPort  `cbor:"4,keyasint"`           // Where datagrams go.
+	LinkMbps   float64         `cbor:"5,keyasint,omitempty"` // Mbit/s; 0 where it is not known.
 }
 
 // member is another instance.
 type member struct {
 	memberRecord
-	key     string
-	joined  time.Time
-	heard   time.Time // Zero before its first message.
-	leaving bool
-	follows bool // It follows the store itself.
-	lapsed  bool // Its key went while it was heard.
+	key          string
+	joined       time.Time
+	lastSeen     time.Time // Zero before its first message.
+	leaving      bool
+	following    bool // It follows the store itself.
+	deregistered bool // Its key went while it was heard.
 }
 
 // members holds the other instances.
 type members struct {
-	self  string // Key of this instance.
-	zone  string
-	log   *slog.Logger
-	quiet bool                        // Registrations are not logged one by one.
-	list  map[string]*member          // By key.
-	lives map[dispatch.PeerID]*member // The same by life.
-	keep  map[string]bool             // Keepers, by key.
+	self         string // Key of this instance.
+	zone         string
+	log          *slog.Logger
+	quiet        bool                        // Registrations are not logged one by one.
+	byKey        map[string]*member          // By key.
+	byPeer       map[dispatch.PeerID]*member // The same by life.
+	coordinators map[string]bool             // Keepers, by key.
 }
 
 const (
 	// silenceTimeout is several times the interval of heartbeats.
 	silenceTimeout = 2 * time.Second
 	// localMin is the fewest instances of a zone that callers are given alone.
-	localMin = 3
+	minLocalAddresses = 3
 )
 
 func newMembers(id, zone string, log *slog.Logger) *members {
-	return &members{self: memberPrefix + id, zone: zone, log: log, list: make(map[string]*member), lives: make(map[dispatch.PeerID]*member)}
+	return &members{self: memberPrefix + id, zone: zone, log: log, byKey: make(map[string]*member), byPeer: make(map[dispatch.PeerID]*member)}
 }
 
 // put takes in an instance's registration.
@@ -72,29 +72,29 @@
 		m.log.Warn("registration of an instance ignored", "key", key, "error", fmt.Sprintf("decode %d bytes: %s", len(value), err))
 		return
 	}
-	if old := m.list[key]; old != nil && old.Peer == r.Peer {
-		old.memberRecord, old.lapsed = r, false
+	if old := m.byKey[key]; old != nil && old.Peer == r.Peer {
+		old.memberRecord, old.deregistered = r, false
 		return
 	}
 	m.drop(key)
-	m.list[key] = &member{memberRecord: r, key: key, joined: now}
-	m.lives[r.Peer] = m.list[key]
+	m.byKey[key] = &member{memberRecord: r, key: key, joined: now}
+	m.byPeer[r.Peer] = m.byKey[key]
 	if m.quiet {
 		return
 	}
-	m.log.Info("instance joined", "peer", strings.TrimPrefix(key, memberPrefix), "zone", r.Zone, "callers", r.Callers)
+	m.log.Info("instance joined", "peer", strings.TrimPrefix(key, memberPrefix), "zone", r.Zone, "callers", r.CallerAddr)
 }
 
 // remove drops an instance whose registration went. It stays as long as it is heard and does
 // not leave: a registration lapses with the store, or is taken away from an instance that the
 // store refuses, and which depends on what its zone tells it.
 func (m *members) remove(now time.Time, key string) {
-	e := m.list[key]
+	e := m.byKey[key]
 	if e == nil {
 		return
 	}
-	if !e.leaving && e.there(now) {
-		e.lapsed = true
+	if !e.leaving && e.isAlive(now) {
+		e.deregistered = true
 		return
 	}
 	m.drop(key)
@@ -105,28 +105,28 @@
 }
 
 // hear notes a message of an instance, and tells whether it follows the store since, or no more.
-func (m *members) hear(now time.Time, msg *message) (turned bool) {
-	e := m.lives[msg.From]
+func (m *members) recordMessage(now time.Time, msg *message) (changed bool) {
+	e := m.byPeer[msg.From]
 	if e == nil {
 		return false
 	}
-	turned = e.follows != msg.Following
-	e.heard, e.follows = now, msg.Following
+	changed = e.following != msg.Following
+	e.lastSeen, e.following = now, msg.Following
 	e.leaving = e.leaving || msg.Leaving
-	return turned
+	return changed
 }
 
 // rank notes who keeps.
-func (m *members) rank(keepers []broker.Instance) {
-	m.keep = make(map[string]bool, len(keepers))
-	for _, i := range keepers {
-		m.keep[i.Key] = true
+func (m *members) setCoordinators(coordinators []broker.Instance) {
+	m.coordinators = make(map[string]bool, len(coordinators))
+	for _, i := range coordinators {
+		m.coordinators[i.Key] = true
 	}
 }
 
 // order returns an instance's place among those that may follow the store: keepers go first.
-func (m *members) order(key string) string {
-	if len(m.keep) > 0 && !m.keep[key] {
+func (m *members) followerKey(key string) string {
+	if len(m.coordinators) > 0 && !m.coordinators[key] {
 		return "~" + key
 	}
 	return key
@@ -134,46 +134,46 @@
 
 // follow notes which instances of this zone follow the store, as one of its keepers tells. The
 // keepers tell of themselves.
-func (m *members) follow(keeper *member, followers []dispatch.PeerID) {
-	for _, e := range m.list {
-		if e != keeper && e.Zone == m.zone && !m.keep[e.key] {
-			e.follows = slices.Contains(followers, e.Peer)
+func (m *members) setFollowers(coordinator *member, followers []dispatch.PeerID) {
+	for _, e := range m.byKey {
+		if e != coordinator && e.Zone == m.zone && !m.coordinators[e.key] {
+			e.following = slices.Contains(followers, e.Peer)
 		}
 	}
 }
 
 // there tells whether an instance was heard lately, or has joined too lately to be heard.
-func (e *member) there(now time.Time) bool {
-	return now.Sub(e.joined) <= silenceTimeout || now.Sub(e.heard) <= silenceTimeout
+func (e *member) isAlive(now time.Time) bool {
+	return now.Sub(e.joined) <= silenceTimeout || now.Sub(e.lastSeen) <= silenceTimeout
 }
 
 // silent tells whether an instance is to be told of as silent.
-func (e *member) silent(now time.Time) bool {
+func (e *member) isSilent(now time.Time) bool {
 	fresh := now.Sub(e.joined) <= silenceTimeout
-	return e.leaving || !fresh && now.Sub(e.heard) > followerTimeout
+	return e.leaving || !fresh && now.Sub(e.lastSeen) > followerTimeout
 }
 
 // hush takes an instance for silent at once.
-func (e *member) hush(now time.Time) {
-	if over := now.Add(-silenceTimeout - time.Millisecond); e.heard.After(over) {
-		e.heard = over
+func (e *member) markSilent(now time.Time) {
+	if silentSince := now.Add(-silenceTimeout - time.Millisecond); e.lastSeen.After(silentSince) {
+		e.lastSeen = silentSince
 	}
 }
 
 // drop forgets an instance.
 func (m *members) drop(key string) {
-	if e := m.list[key]; e != nil {
-		delete(m.lives, e.Peer)
-		delete(m.list, key)
+	if e := m.byKey[key]; e != nil {
+		delete(m.byPeer, e.Peer)
+		delete(m.byKey, key)
 	}
 }
 
 // zonePeers returns the other instances of this zone that are heard and stay.
 func (m *members) zonePeers(now time.Time) []following.Peer {
 	var peers []following.Peer
-	for key, e := range m.list {
-		if e.Zone == m.zone && !e.leaving && now.Sub(e.heard) <= followerTimeout {
-			peers = append(peers, following.Peer{Key: m.order(key), Following: e.follows})
+	for key, e := range m.byKey {
+		if e.Zone == m.zone && !e.leaving && now.Sub(e.lastSeen) <= followerTimeout {
+			peers = append(peers, following.Peer{Key: m.followerKey(key), Following: e.following})
 		}
 	}
 	return peers
@@ -181,8 +181,8 @@
 
 // expire drops instances that lapsed and are silent.
 func (m *members) expire(now time.Time) {
-	for key, e := range m.list {
-		if e.lapsed && !e.there(now) {
+	for key, e := range m.byKey {
+		if e.deregistered && !e.isAlive(now) {
 			m.drop(key)
 			m.log.Info("instance lapsed and silent", "peer", strings.TrimPrefix(key, memberPrefix))
 		}
@@ -193,20 +193,20 @@
 // tell a silent one from its own trouble.
 func (m *members) isolated(now time.Time) bool {
 	heard := 0
-	for _, e := range m.list {
-		if now.Sub(e.heard) <= silenceTimeout {
+	for _, e := range m.byKey {
+		if now.Sub(e.lastSeen) <= silenceTimeout {
 			heard++
 		}
 	}
-	return 2*heard < len(m.list)
+	return 2*heard < len(m.byKey)
 }
 
 // alive returns the instances to which callers and messages may go.
 func (m *members) alive(now time.Time) []*member {
 	isolated := m.isolated(now)
 	var out []*member
-	for _, e := range m.list {
-		if !e.leaving && (isolated || e.there(now)) {
+	for _, e := range m.byKey {
+		if !e.leaving && (isolated || e.isAlive(now)) {
 			out = append(out, e)
 		}
 	}
@@ -217,12 +217,12 @@
 func addresses(alive []*member, zone string) []string {
 	var local, all []string
 	for _, e := range alive {
-		all = append(all, e.Callers)
+		all = append(all, e.CallerAddr)
 		if e.Zone == zone {
-			local = append(local, e.Callers)
+			local = append(local, e.CallerAddr)
 		}
 	}
-	if len(local) >= localMin {
+	if len(local) >= minLocalAddresses {
 		all = local
 	}
 	slices.Sort(all)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -20,21 +20,21 @@
 
 // metrics counts answers. It is safe for concurrent use.
 type metrics struct {
-	mu     sync.Mutex
-	byCode map[result.Code]int64
-	took   *hdrhistogram.Histogram // Milliseconds.
+	mu      sync.Mutex
+	byCode  map[result.Code]int64
+	latency *hdrhistogram.Histogram // Milliseconds.
 }
 
 func newMetrics() *metrics {
-	return &metrics{byCode: make(map[result.Code]int64), took: hdrhistogram.New(histogramMin, histogramMax, histogramDigits)}
+	return &metrics{byCode: make(map[result.Code]int64), latency: hdrhistogram.New(histogramMin, histogramMax, histogramDigits)}
 }
 
-func (m *metrics) answered(code result.Code, took time.Duration) {
+func (m *metrics) recordAnswer(code result.Code, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.byCode[code]++
 	// Times over the bound are of requests that are counted by their code.
-	_ = m.took.RecordValue(min(max(took.Milliseconds(), histogramMin), histogramMax))
+	_ = m.latency.RecordValue(min(max(took.Milliseconds(), histogramMin), histogramMax))
 }
 
 // quantiles are the quantiles of answer times that are shown.
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, q := range quantiles {
-		fmt.Fprintf(&b, "answer_ms_p%g %d\n", q, m.took.ValueAtQuantile(q))
+		fmt.Fprintf(&b, "answer_ms_p%g %d\n", q, m.latency.ValueAtQuantile(q))
 	}
 	m.mu.Unlock()
 	for name, v := range gauges {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -17,28 +17,28 @@
 
 // message is what one instance tells all others in a datagram.
 type message struct {
-	_         struct{} `cbor:",toarray"`
-	From      dispatch.PeerID
-	Revision  platform.Revision // Of the store, as far as the sender has followed it.
-	Leaving   bool
-	Seasoned  bool // The sender has counted repeats for a whole window.
-	Following bool // The sender follows the store itself.
-	Troubled  bool // The store has failed the sender lately.
-	Events    []dispatch.Event
+	_                  struct{} `cbor:",toarray"`
+	From               dispatch.PeerID
+	Revision           platform.Revision // Of the store, as far as the sender has followed it.
+	Leaving            bool
+	HasFullRetryWindow bool // The sender has counted repeats for a whole window.
+	Following          bool // The sender follows the store itself.
+	StoreFailing       bool // The store has failed the sender lately.
+	Events             []dispatch.Event
 }
 
 // The first byte of a datagram tells what it holds, and whether the receiver passes it on.
 const (
-	forReceiver    byte = iota // Messages, one after the other.
-	forZone                    // A message to be passed on to all instances of the receiver's zone.
-	forZoneNow                 // The same, at once.
-	storeFeed                  // A feed; it is not passed on.
-	storePiece                 // A piece of a feed; it is not passed on.
-	storeMissed                // A missed: asks for feeds again.
-	keeperRoll                 // A roll.
-	brokerQuestion             // A question.
-	brokerReply                // A reply.
-	brokerEnding               // An ending.
+	datagramMessages         byte = iota // Messages, one after the other.
+	datagramRelay                        // A message to be passed on to all instances of the receiver's zone.
+	datagramRelayNow                     // The same, at once.
+	datagramChanges                      // A feed; it is not passed on.
+	datagramFragment                     // A piece of a feed; it is not passed on.
+	datagramResendRequest                // A missed: asks for feeds again.
+	datagramLiveness                     // A roll.
+	datagramPlacementRequest             // A question.
+	datagramPlacementReply               // A reply.
+	datagramGrantEnd                     // An ending.
 )
 
 const (
@@ -55,12 +55,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode a message of %d events: %w", len(m.Events), err)
 	}
-	return append([]byte{forReceiver}, body...), nil
+	return append([]byte{datagramMessages}, body...), nil
 }
 
 // decodeMessages returns the messages of a datagram.
 func decodeMessages(data []byte) ([]message, error) {
-	if len(data) == 0 || data[0] > forZoneNow {
+	if len(data) == 0 || data[0] > datagramRelayNow {
 		return nil, fmt.Errorf("%w of %d bytes", errDatagram, len(data))
 	}
 	var list []message
@@ -93,7 +93,7 @@
 }
 
 // receive hands each datagram to take until the socket is closed. data is reused after take returns.
-func (p *peerSocket) receive(take func(data []byte)) {
+func (p *peerSocket) receive(handle func(data []byte)) {
 	buffer := make([]byte, maxDatagramBytes+1)
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buffer)
@@ -101,7 +101,7 @@
 			return
 		}
 		if err == nil {
-			take(buffer[:n])
+			handle(buffer[:n])
 		}
 	}
 }
@@ -114,21 +114,21 @@
 }
 
 // spread sends a message to all instances: within this zone, and to a relay of each other zone.
-func spread(data []byte, urgent bool, r *routes, send func(data []byte, to []netip.AddrPort), own *relay) {
-	data[0] = forZone
+func broadcast(data []byte, urgent bool, r *peerRoutes, send func(data []byte, to []netip.AddrPort), own *relay) {
+	data[0] = datagramRelay
 	if urgent {
-		data[0] = forZoneNow
+		data[0] = datagramRelayNow
 	}
-	for _, relays := range r.others {
+	for _, relays := range r.remoteRelays {
 		send(data, pickOne(relays))
 	}
 	switch {
-	case r.itself:
-		own.pass(data[1:], urgent)
+	case r.isRelay:
+		own.forward(data[1:], urgent)
 	case len(r.relays) > 0:
 		send(data, pickOne(r.relays))
 	default:
-		data[0] = forReceiver
+		data[0] = datagramMessages
 		send(data, r.zone)
 	}
 }
@@ -139,7 +139,7 @@
 
 // directMost is the most instances of a zone that are told of each event one by one; above,
 // what each has to receive grows with all others' requests.
-const directMost = 20
+const maxDirectPeers = 20
 
 // relaysOf returns the relays of a zone, its keepers: a relay sends what the whole fleet tells
 // to each of its zone.
@@ -147,9 +147,9 @@
 	list := make([]broker.Instance, 0, len(zone))
 	at := make(map[string]netip.AddrPort, len(zone))
 	for _, e := range zone {
-		key, _ := e.Peers.MarshalBinary() // It never fails.
-		list = append(list, broker.Instance{Incarnation: uint64(e.Peer), Key: string(key), LinkMbps: e.Link})
-		at[string(key)] = e.Peers
+		key, _ := e.PeerAddr.MarshalBinary() // It never fails.
+		list = append(list, broker.Instance{Incarnation: uint64(e.Peer), Key: string(key), LinkMbps: e.LinkMbps})
+		at[string(key)] = e.PeerAddr
 	}
 	var relays []netip.AddrPort
 	for _, i := range broker.Coordinators(list) {
@@ -159,32 +159,32 @@
 }
 
 // routes are the ways to the other instances. It is immutable.
-type routes struct {
-	zone   []netip.AddrPort            // In this zone.
-	relays []netip.AddrPort            // Of this zone; none while it is small.
-	itself bool                        // This instance is one of them.
-	others map[string][]netip.AddrPort // Relays by other zone; none is empty.
+type peerRoutes struct {
+	zone         []netip.AddrPort            // In this zone.
+	relays       []netip.AddrPort            // Of this zone; none while it is small.
+	isRelay      bool                        // This instance is one of them.
+	remoteRelays map[string][]netip.AddrPort // Relays by other zone; none is empty.
 }
 
-func newRoutes(alive []*member, self memberRecord) *routes {
+func newPeerRoutes(alive []*member, self memberRecord) *peerRoutes {
 	zones := make(map[string][]*member)
 	for _, e := range alive {
 		zones[e.Zone] = append(zones[e.Zone], e)
 	}
-	r := &routes{others: make(map[string][]netip.AddrPort)}
+	r := &peerRoutes{remoteRelays: make(map[string][]netip.AddrPort)}
 	for zone, list := range zones {
 		if zone != self.Zone {
-			r.others[zone] = relaysOf(list)
+			r.remoteRelays[zone] = relaysOf(list)
 		}
 	}
 	own := zones[self.Zone]
 	for _, e := range own {
-		r.zone = append(r.zone, e.Peers)
+		r.zone = append(r.zone, e.PeerAddr)
 	}
-	if len(own) < directMost {
+	if len(own) < maxDirectPeers {
 		return r
 	}
 	r.relays = relaysOf(append(own, &member{memberRecord: self}))
-	r.itself = slices.Contains(r.relays, self.Peers)
+	r.isRelay = slices.Contains(r.relays, self.PeerAddr)
 	return r
 }
--- /dev/null
+++ b/internal/gateway/placement.go
@@ -0,0 +1,172 @@
+package gateway
+
+import (
+	"net/netip"
+	"time"
+
+	"github.com/damaskcove/damaskcove/coord/broker"
+	"github.com/damaskcove/damaskcove/coord/dispatch"
+)
+
+// askTimeout is how long a broker may take to answer: many times the way within a zone, and
+// as long as a small instance's processor may be away.
+const brokerTimeout = 60 * time.Millisecond
+
+// placing is this instance's part in requests that a broker places. It is owned by the
+// control loop.
+type placementClient struct {
+	suspects  broker.Suspects
+	seq       uint64
+	pending   map[uint64]*pendingPlacement // Questions without an answer.
+	grantedBy map[uint64]broker.Instance   // Brokers by ticket, until the request has ended.
+}
+
+// pending is a question that waits for its answer.
+type pendingPlacement struct {
+	request dispatch.Request
+	to      broker.Instance
+	result  chan<- acquireResult
+	timer   *time.Timer
+}
+
+func newPlacementClient() placementClient {
+	return placementClient{pending: make(map[uint64]*pendingPlacement), grantedBy: make(map[uint64]broker.Instance)}
+}
+
+// place has a request placed: by its service's broker, or by this instance itself where it
+// knows of none that answers.
+func (c *control) place(now time.Time, req dispatch.Request, result chan<- acquireResult) {
+	req.CrossZoneCost = c.machine.CrossZoneCost(req.SizeClass, req.LargeResponse)
+	to, ok := c.placement.suspects.Pick(now, broker.Rank(req.Service, c.coordinators))
+	if !ok {
+		c.placeLocally(now, req, result)
+		return
+	}
+	c.placement.seq++
+	seq := c.placement.seq
+	unreachable := c.machine.UnreachableEndpoints(now, req.Service, maxTried)
+	msg := newPlacementRequest(c.peer, seq, now, req)
+	msg.Tried = append(msg.Tried[:len(msg.Tried):len(msg.Tried)], unreachable...)
+	p := &pendingPlacement{request: req, to: to, result: result}
+	p.timer = time.AfterFunc(brokerTimeout, func() { c.post(func() { c.handleBrokerTimeout(time.Now(), seq) }) })
+	c.placement.pending[seq] = p
+	c.sendPlacementRequest(now, to.Incarnation, msg)
+}
+
+// placeHere has this instance place a request by what it has seen itself.
+func (c *control) placeLocally(now time.Time, req dispatch.Request, result chan<- acquireResult) {
+	grant, rejection := c.machine.Acquire(now, req)
+	result <- acquireResult{grant: grant, rejection: rejection}
+}
+
+// ask takes a question to a broker.
+func (c *control) sendPlacementRequest(now time.Time, to uint64, msg placementRequest) {
+	if dispatch.PeerID(to) == c.peer {
+		c.handlePlacementRequest(now, msg)
+		return
+	}
+	c.sendTo(dispatch.PeerID(to), datagramPlacementRequest, msg)
+}
+
+// sendTo sends a message to one instance. A loss is mended by timeouts.
+func (c *control) sendTo(to dispatch.PeerID, kind byte, m any) {
+	e := c.members.byPeer[to]
+	if e == nil {
+		return
+	}
+	data, err := encodeKind(kind, m)
+	if err != nil {
+		c.log.Error("message not sent", "error", err.Error())
+		return
+	}
+	c.socket.send(data, []netip.AddrPort{e.PeerAddr})
+}
+
+// unanswered goes on with a question whose broker is silent.
+func (c *control) handleBrokerTimeout(now time.Time, seq uint64) {
+	p := c.placement.pending[seq]
+	if p == nil {
+		return
+	}
+	delete(c.placement.pending, seq)
+	c.placement.suspects.Add(now, p.to.Incarnation)
+	c.brokerTimeouts.Add(1)
+	c.placeLocally(now, p.request, p.result)
+}
+
+// hearReply takes in a broker's answer.
+func (c *control) handlePlacementReply(now time.Time, r placementReply) {
+	if r.To != c.peer {
+		return // It answers a question of a former life.
+	}
+	p := c.placement.pending[r.Seq]
+	from := broker.Instance{Incarnation: uint64(r.Broker)}
+	if p == nil {
+		if _, duplicate := c.placement.grantedBy[r.Seq]; r.Reason == 0 && !duplicate {
+			c.sendGrantEnd(now, from, r.Seq, dispatch.EndedUnknown, 0) // It came too late.
+		}
+		return
+	}
+	delete(c.placement.pending, r.Seq)
+	p.timer.Stop()
+	if r.Reason != 0 {
+		p.result <- acquireResult{rejection: &dispatch.Rejection{
+			Reason: r.Reason, RetryAfter: time.Duration(r.RetryAfter) * time.Millisecond,
+			ExpectedLatency: time.Duration(r.ExpectedLatency) * time.Millisecond, TimeLeft: p.request.Deadline.Sub(now),
+		}}
+		return
+	}
+	endpoint, ok := c.machine.Endpoint(r.Endpoint)
+	if !ok || endpoint.Service != p.request.Service {
+		c.sendGrantEnd(now, from, r.Seq, dispatch.EndedUnknown, 0)
+		c.placeLocally(now, p.request, p.result)
+		return
+	}
+	c.placement.grantedBy[r.Seq] = from
+	p.result <- acquireResult{grant: dispatch.Grant{
+		Endpoint: endpoint, BrokerSeq: r.Seq, Chance: fromPerMille(r.Chance), InFlight: r.InFlight, BaselineLatency: time.Duration(r.BaselineLatency) * time.Millisecond,
+	}}
+}
+
+// tellEnding tells a broker what became of a grant.
+func (c *control) sendGrantEnd(now time.Time, to broker.Instance, seq uint64, kind dispatch.EventKind, took time.Duration) {
+	e := grantEnd{From: c.peer, Seq: seq, Kind: kind, LatencyMillis: int(took.Milliseconds())}
+	if dispatch.PeerID(to.Incarnation) == c.peer {
+		c.handleGrantEnd(now, e)
+		return
+	}
+	c.sendTo(dispatch.PeerID(to.Incarnation), datagramGrantEnd, e)
+}
+
+// ended takes in the end of a granted request.
+func (c *control) handleEnded(now time.Time, g dispatch.Grant, kind dispatch.EventKind, took time.Duration) {
+	if g.BrokerSeq == 0 {
+		c.machine.Ended(now, g.Endpoint.ID, kind, took)
+		return
+	}
+	c.machine.BrokeredEnded(now, g.Endpoint.ID, kind, took)
+	c.sendGrantEnd(now, c.placement.grantedBy[g.BrokerSeq], g.BrokerSeq, kind, took)
+	delete(c.placement.grantedBy, g.BrokerSeq)
+}
+
+// unreachable takes in that a granted request could not be sent.
+func (c *control) handleSendFailed(now time.Time, g dispatch.Grant) {
+	if g.BrokerSeq == 0 {
+		c.machine.SendFailed(now, g.Endpoint.ID)
+		return
+	}
+	c.machine.BrokeredSendFailed(now, g.Endpoint.ID)
+	c.sendGrantEnd(now, c.placement.grantedBy[g.BrokerSeq], g.BrokerSeq, endSendFailed, 0)
+	delete(c.placement.grantedBy, g.BrokerSeq)
+}
+
+// runsLong takes in that a granted request has no answer yet.
+func (c *control) handleOverdue(now time.Time, g dispatch.Grant) {
+	if g.BrokerSeq == 0 {
+		c.machine.Overdue(now, g.Endpoint.ID)
+		return
+	}
+	if to, ok := c.placement.grantedBy[g.BrokerSeq]; ok {
+		c.sendGrantEnd(now, to, g.BrokerSeq, dispatch.Overdue, 0)
+	}
+}
--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -23,14 +23,14 @@
 // entry is one registration.
 type entry struct {
 	platform.Upstream
-	warmUntil time.Time
-	lapsed    time.Time // When the store was back without its key; zero while the key is there.
+	warmUpEnd    time.Time
+	missingSince time.Time // When the store was back without its key; zero while the key is there.
 }
 
 // lapseGrace is how long after the store's return a registration that went meanwhile may
 // take to come back: the upstreams' interval of registration and a little more. The platform
 // gives two seconds, and as many until an upstream that left may get no more work.
-const lapseGrace = 1600 * time.Millisecond
+const reregisterGrace = 1600 * time.Millisecond
 
 func newRegistry(log *slog.Logger) *registry {
 	return &registry{log: log, entries: make(map[string]*entry)}
@@ -44,11 +44,11 @@
 		return r.remove(key)
 	}
 	old := r.entries[key]
-	if old != nil && old.lapsed.IsZero() && sameUse(old.Upstream, u) {
+	if old != nil && old.missingSince.IsZero() && equivalent(old.Upstream, u) {
 		old.Upstream = u
 		return false
 	}
-	r.entries[key] = &entry{Upstream: u, warmUntil: now.Add(u.WarmUpLeft)}
+	r.entries[key] = &entry{Upstream: u, warmUpEnd: now.Add(u.WarmUpLeft)}
 	if r.quiet {
 		return true
 	}
@@ -58,7 +58,7 @@
 }
 
 // sameUse tells whether two registrations are used alike.
-func sameUse(a, b platform.Upstream) bool {
+func equivalent(a, b platform.Upstream) bool {
 	a.Sequence, b.Sequence = 0, 0
 	a.WarmUpLeft, b.WarmUpLeft = 0, 0
 	return a == b
@@ -78,7 +78,7 @@
 }
 
 // lapse marks a registration that was missing when the store was back: it may come back too.
-func (r *registry) lapse(back time.Time, key string) bool {
+func (r *registry) markMissing(back time.Time, key string) bool {
 	e := r.entries[key]
 	if e == nil {
 		return false
@@ -86,8 +86,8 @@
 	if e.State == platform.UpstreamDraining {
 		return r.remove(key)
 	}
-	if e.lapsed.IsZero() {
-		e.lapsed = back
+	if e.missingSince.IsZero() {
+		e.missingSince = back
 		r.log.Info("upstream's registration lapsed with the store", "upstream", e.ID, "service", e.Service)
 	}
 	return false
@@ -97,7 +97,7 @@
 func (r *registry) expire(now time.Time) bool {
 	changed := false
 	for key, e := range r.entries {
-		if !e.lapsed.IsZero() && now.Sub(e.lapsed) > lapseGrace {
+		if !e.missingSince.IsZero() && now.Sub(e.missingSince) > reregisterGrace {
 			changed = r.remove(key) || changed
 		}
 	}
@@ -119,7 +119,7 @@
 		}
 		list = append(list, dispatch.Endpoint{
 			ID: endpointID(e.ID), Name: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone,
-			Slots: e.Slots, Draining: e.State == platform.UpstreamDraining, Started: e.Started, WarmUpEnd: e.warmUntil,
+			Slots: e.Slots, Draining: e.State == platform.UpstreamDraining, Started: e.Started, WarmUpEnd: e.warmUpEnd,
 		})
 	}
 	return list
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -13,31 +13,31 @@
 
 // zones is the instances of some zones, whose datagrams arrive at once.
 type zones struct {
-	t      *testing.T
-	routes map[netip.AddrPort]*routes
-	relays map[netip.AddrPort]*relay
-	heard  map[netip.AddrPort]map[dispatch.PeerID]int // Messages by receiver and sender.
-	sent   map[netip.AddrPort]int                     // Datagrams.
+	t          *testing.T
+	peerRoutes map[netip.AddrPort]*peerRoutes
+	relays     map[netip.AddrPort]*relay
+	received   map[netip.AddrPort]map[dispatch.PeerID]int // Messages by receiver and sender.
+	sent       map[netip.AddrPort]int                     // Datagrams.
 }
 
 func newZones(t *testing.T, sizes map[string]int) (*zones, []*member) {
 	t.Helper()
-	z := &zones{t: t, routes: map[netip.AddrPort]*routes{}, relays: map[netip.AddrPort]*relay{}, heard: map[netip.AddrPort]map[dispatch.PeerID]int{}, sent: map[netip.AddrPort]int{}}
+	z := &zones{t: t, peerRoutes: map[netip.AddrPort]*peerRoutes{}, relays: map[netip.AddrPort]*relay{}, received: map[netip.AddrPort]map[dispatch.PeerID]int{}, sent: map[netip.AddrPort]int{}}
 	var all []*member
 	for zone, n := range sizes {
 		for i := range n {
 			at := netip.MustParseAddrPort(fmt.Sprintf("10.%d.0.%d:7540", zone[0], i+1))
-			all = append(all, &member{memberRecord: memberRecord{Peer: dispatch.PeerID(len(all) + 1), Zone: zone, Peers: at}})
+			all = append(all, &member{memberRecord: memberRecord{Peer: dispatch.PeerID(len(all) + 1), Zone: zone, PeerAddr: at}})
 		}
 	}
 	for k, e := range all {
 		others := append(append([]*member{}, all[:k]...), all[k+1:]...)
-		z.routes[e.Peers] = newRoutes(others, e.memberRecord)
-		z.heard[e.Peers] = map[dispatch.PeerID]int{}
-		z.relays[e.Peers] = &relay{
-			send: func(data []byte, to []netip.AddrPort) { z.send(e.Peers, data, to) },
-			to:   func() []netip.AddrPort { return z.routes[e.Peers].zone },
-			call: func(time.Duration, func()) {}, // tell ends every wait.
+		z.peerRoutes[e.PeerAddr] = newPeerRoutes(others, e.memberRecord)
+		z.received[e.PeerAddr] = map[dispatch.PeerID]int{}
+		z.relays[e.PeerAddr] = &relay{
+			send:      func(data []byte, to []netip.AddrPort) { z.send(e.PeerAddr, data, to) },
+			targets:   func() []netip.AddrPort { return z.peerRoutes[e.PeerAddr].zone },
+			afterFunc: func(time.Duration, func()) {}, // tell ends every wait.
 		}
 	}
 	return z, all
@@ -54,38 +54,38 @@
 			z.t.Fatal(err)
 		}
 		for _, m := range list {
-			z.heard[at][m.From]++
+			z.received[at][m.From]++
 		}
-		if data[0] != forReceiver {
-			z.relays[at].pass(data[1:], data[0] == forZoneNow)
+		if data[0] != datagramMessages {
+			z.relays[at].forward(data[1:], data[0] == datagramRelayNow)
 		}
 	}
 }
 
 // tell has every instance send a number of messages.
-func (z *zones) tell(all []*member, messages int) {
+func (z *zones) broadcastAll(all []*member, messages int) {
 	for range messages {
 		for _, e := range all {
 			data, err := encodeMessage(message{From: e.Peer, Events: []dispatch.Event{{Endpoint: 1, Kind: dispatch.Started}}})
 			if err != nil {
 				z.t.Fatal(err)
 			}
-			spread(data, false, z.routes[e.Peers], func(data []byte, to []netip.AddrPort) { z.send(e.Peers, data, to) }, z.relays[e.Peers])
+			broadcast(data, false, z.peerRoutes[e.PeerAddr], func(data []byte, to []netip.AddrPort) { z.send(e.PeerAddr, data, to) }, z.relays[e.PeerAddr])
 		}
 	}
 	for _, r := range z.relays {
-		r.due()
+		r.flushDue()
 	}
 }
 
 func TestEveryInstanceHearsEachMessageOnce(t *testing.T) {
 	for _, sizes := range []map[string]int{{"a": 1}, {"a": 12, "b": 3}, {"a": 40, "b": 12, "c": 1}, {"a": 33, "b": 33, "c": 33}} {
 		z, all := newZones(t, sizes)
-		z.tell(all, 3)
+		z.broadcastAll(all, 3)
 		for _, to := range all {
 			for _, from := range all {
-				if got := z.heard[to.Peers][from.Peer]; to != from && got != 3 {
-					t.Fatalf("zones %v: %s heard %d of 3 messages of %s", sizes, to.Peers, got, from.Peers)
+				if got := z.received[to.PeerAddr][from.Peer]; to != from && got != 3 {
+					t.Fatalf("zones %v: %s heard %d of 3 messages of %s", sizes, to.PeerAddr, got, from.PeerAddr)
 				}
 			}
 		}
@@ -97,23 +97,23 @@
 func TestTheFastestLinksRelay(t *testing.T) {
 	var zone []*member
 	for i := range 40 {
-		e := &member{memberRecord: memberRecord{Zone: "a", Link: 10, Peers: netip.MustParseAddrPort(fmt.Sprintf("10.1.0.%d:7540", i+1))}}
+		e := &member{memberRecord: memberRecord{Zone: "a", LinkMbps: 10, PeerAddr: netip.MustParseAddrPort(fmt.Sprintf("10.1.0.%d:7540", i+1))}}
 		if i%20 == 7 {
-			e.Link = 200
+			e.LinkMbps = 200
 		}
 		zone = append(zone, e)
 	}
 	var want []netip.AddrPort
 	for _, e := range zone {
-		if e.Link == 200 {
-			want = append(want, e.Peers)
+		if e.LinkMbps == 200 {
+			want = append(want, e.PeerAddr)
 		}
 	}
 	if got := relaysOf(slices.Clone(zone)); !slices.Equal(got, want) {
 		t.Errorf("relays %v, want %v", got, want)
 	}
 	for _, e := range zone {
-		e.Link = 10
+		e.LinkMbps = 10
 	}
 	if got := relaysOf(zone); len(got) != broker.MaxCoordinators {
 		t.Errorf("%d relays among equals, want %d", len(got), broker.MaxCoordinators)
@@ -128,9 +128,9 @@
 func TestMessagesThatComeTogetherAreSentTogether(t *testing.T) {
 	z, all := newZones(t, map[string]int{"a": 40})
 	for _, r := range z.relays {
-		r.sent = time.Now().Add(time.Hour) // Nothing is due until the test says so.
+		r.lastSent = time.Now().Add(time.Hour) // Nothing is due until the test says so.
 	}
-	z.tell(all, 4)
+	z.broadcastAll(all, 4)
 	total := 0
 	for _, n := range z.sent {
 		total += n
@@ -142,23 +142,23 @@
 
 // The load that it answers: a quiet fleet, in which evidence is worth most while it is fresh.
 func TestALoneMessageIsPassedOnAtOnce(t *testing.T) {
-	passed := 0
-	r := &relay{send: func([]byte, []netip.AddrPort) { passed++ }, to: func() []netip.AddrPort { return nil }, call: func(time.Duration, func()) {}}
-	r.pass([]byte{1}, false)
-	if passed != 1 {
+	sends := 0
+	r := &relay{send: func([]byte, []netip.AddrPort) { sends++ }, targets: func() []netip.AddrPort { return nil }, afterFunc: func(time.Duration, func()) {}}
+	r.forward([]byte{1}, false)
+	if sends != 1 {
 		t.Error("the message waits though none came before it")
 	}
-	r.pass([]byte{2}, false)
-	if passed != 1 {
+	r.forward([]byte{2}, false)
+	if sends != 1 {
 		t.Error("a second message that can wait does not")
 	}
-	r.pass([]byte{3}, true)
-	if passed != 2 {
+	r.forward([]byte{3}, true)
+	if sends != 2 {
 		t.Error("an urgent message waits")
 	}
-	r.pass([]byte{4}, false)
-	r.due()
-	if passed != 3 || len(r.pending) != 0 {
-		t.Errorf("%d datagrams, %d bytes wait", passed, len(r.pending))
+	r.forward([]byte{4}, false)
+	r.flushDue()
+	if sends != 3 || len(r.pending) != 0 {
+		t.Errorf("%d datagrams, %d bytes wait", sends, len(r.pending))
 	}
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -22,8 +22,8 @@
 			signalled = true
 		case <-ticker.C:
 		}
-		if at := modified(g.path); signalled || !at.Equal(g.loaded) {
-			g.loaded = at
+		if at := modified(g.path); signalled || !at.Equal(g.settingsModified) {
+			g.settingsModified = at
 			g.reload(signalled)
 		}
 	}
@@ -43,7 +43,7 @@
 		g.log.Error("settings not reloaded; the former ones stay", "error", err.Error())
 		return
 	}
-	kept := g.current().restartNeeded(next)
+	needRestart := g.current().restartNeeded(next)
 	g.settings.Store(next)
-	g.log.Info("reload", "signal", signalled, "need_restart", kept)
+	g.log.Info("reload", "signal", signalled, "need_restart", needRestart)
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -23,10 +23,10 @@
 
 // InstanceSettings tell which instance the process is.
 type InstanceSettings struct {
-	ID     string  `toml:"id"`
-	Zone   string  `toml:"zone"`
-	Region string  `toml:"region"`
-	Link   float64 `toml:"link_mbps"` // Of the machine's own link, in Mbit/s; 0 where it is not known.
+	ID       string  `toml:"id"`
+	Zone     string  `toml:"zone"`
+	Region   string  `toml:"region"`
+	LinkMbps float64 `toml:"link_mbps"` // Of the machine's own link, in Mbit/s; 0 where it is not known.
 
 	FirstStart bool `toml:"first_start"` // The whole fleet starts for the first time.
 }
@@ -128,19 +128,19 @@
 	if s.Listen.Metrics != "" {
 		checkAddress(c, "listen.metrics", s.Listen.Metrics)
 	}
-	checkTime(c, "promises.apply_within", s.Promises.ApplyWithin)
-	checkTime(c, "promises.drain_within", s.Promises.DrainWithin)
-	checkTime(c, "promises.stop_within", s.Promises.StopWithin)
-	checkTime(c, "promises.discovery_ttl", s.Promises.DiscoveryTTL)
-	checkTime(c, "retry.window", s.Retry.Window)
+	checkDuration(c, "promises.apply_within", s.Promises.ApplyWithin)
+	checkDuration(c, "promises.drain_within", s.Promises.DrainWithin)
+	checkDuration(c, "promises.stop_within", s.Promises.StopWithin)
+	checkDuration(c, "promises.discovery_ttl", s.Promises.DiscoveryTTL)
+	checkDuration(c, "retry.window", s.Retry.Window)
 	if s.Retry.Ratio < 0 || s.Retry.Ratio > 1 {
 		c.Add("retry.ratio", tomlfile.Show(s.Retry.Ratio), "must be from 0 to 1")
 	}
 	if s.Retry.Extra < 0 {
 		c.Add("retry.extra", tomlfile.Show(s.Retry.Extra), "must not be negative")
 	}
-	if s.Instance.Link < 0 {
-		c.Add("instance.link_mbps", tomlfile.Show(s.Instance.Link), "must not be negative")
+	if s.Instance.LinkMbps < 0 {
+		c.Add("instance.link_mbps", tomlfile.Show(s.Instance.LinkMbps), "must not be negative")
 	}
 	if s.Place.FloorShare < 0 || s.Place.FloorShare > 1 {
 		c.Add("place.floor_share", tomlfile.Show(s.Place.FloorShare), "must be from 0 to 1")
@@ -160,13 +160,13 @@
 }
 
 const (
-	minTime = 10 * time.Millisecond
-	maxTime = time.Hour
+	minDuration = 10 * time.Millisecond
+	maxDuration = time.Hour
 )
 
-func checkTime(c *tomlfile.Collector, key string, value time.Duration) {
-	if value < minTime || value > maxTime {
-		c.Add(key, value.String(), "must be from %s to %s", minTime, maxTime)
+func checkDuration(c *tomlfile.Collector, key string, value time.Duration) {
+	if value < minDuration || value > maxDuration {
+		c.Add(key, value.String(), "must be from %s to %s", minDuration, maxDuration)
 	}
 }
 
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -13,8 +13,8 @@
 	// staleTTLs is the number of discovery TTLs for which callers may use an answer.
 	staleTTLs = 3
 	// repeatLeaving is how often the others are told of the leaving, since datagrams get lost.
-	repeatLeaving = 100 * time.Millisecond
-	leavingTimes  = 3
+	leaveInterval = 100 * time.Millisecond
+	leaveRepeats  = 3
 )
 
 // stop takes the instance out of discovery, serves the callers that still come, and
@@ -26,9 +26,9 @@
 	g.leaving.Store(true)
 	g.log.Info("planned stop", "in_flight", g.server.InFlight())
 	g.server.Drain()
-	for range leavingTimes {
-		g.control.post(func() { g.control.leaving = true; g.control.tell() })
-		time.Sleep(repeatLeaving)
+	for range leaveRepeats {
+		g.control.post(func() { g.control.leaving = true; g.control.sendReports() })
+		time.Sleep(leaveInterval)
 	}
 	time.Sleep(time.Until(began.Add(staleTTLs*s.Promises.DiscoveryTTL + s.Promises.DiscoveryTTL/2)))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
--- a/internal/gateway/parts_test.go
+++ b/internal/gateway/unit_test.go
@@ -88,7 +88,7 @@
 
 func TestMessagesSurviveTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := message{From: dispatch.PeerID(rapid.Uint64().Draw(t, "from")), Revision: platform.Revision(rapid.Uint64().Draw(t, "revision")), Leaving: rapid.Bool().Draw(t, "leaving"), Seasoned: rapid.Bool().Draw(t, "seasoned")}
+		m := message{From: dispatch.PeerID(rapid.Uint64().Draw(t, "from")), Revision: platform.Revision(rapid.Uint64().Draw(t, "revision")), Leaving: rapid.Bool().Draw(t, "leaving"), HasFullRetryWindow: rapid.Bool().Draw(t, "seasoned")}
 		for range rapid.IntRange(0, maxEvents).Draw(t, "events") {
 			m.Events = append(m.Events, dispatch.Event{
 				Endpoint:      dispatch.EndpointID(rapid.Uint32().Draw(t, "endpoint")),
@@ -106,7 +106,7 @@
 			t.Fatalf("got %d messages, %v", len(list), err)
 		}
 		got := list[0]
-		if got.From != m.From || got.Revision != m.Revision || got.Leaving != m.Leaving || got.Seasoned != m.Seasoned || !slices.Equal(got.Events, m.Events) {
+		if got.From != m.From || got.Revision != m.Revision || got.Leaving != m.Leaving || got.HasFullRetryWindow != m.HasFullRetryWindow || !slices.Equal(got.Events, m.Events) {
 			t.Fatalf("got %+v; want %+v", got, m)
 		}
 	})
@@ -129,8 +129,8 @@
 	now := time.Unix(1000, 0)
 	m := newMembers("self", "a", slog.New(slog.DiscardHandler))
 	put := func(id, zone string) *member {
-		e := &member{memberRecord: memberRecord{Zone: zone, Callers: id, Peers: netip.MustParseAddrPort("192.0.2.1:1")}, joined: now, heard: now}
-		m.list[memberPrefix+id] = e
+		e := &member{memberRecord: memberRecord{Zone: zone, CallerAddr: id, PeerAddr: netip.MustParseAddrPort("192.0.2.1:1")}, joined: now, lastSeen: now}
+		m.byKey[memberPrefix+id] = e
 		return e
 	}
 	for _, id := range []string{"1", "2", "3", "4"} {
@@ -140,10 +140,10 @@
 	silent := put("6", "a")
 	put("7", "a").leaving = true
 	later := now.Add(silenceTimeout + time.Second)
-	for _, e := range m.list {
-		e.heard = later
+	for _, e := range m.byKey {
+		e.lastSeen = later
 	}
-	silent.heard = now
+	silent.lastSeen = now
 	got := addresses(m.alive(later), "a")
 	slices.Sort(got)
 	if !slices.Equal(got, []string{"1", "2", "3", "4"}) {
@@ -174,13 +174,13 @@
 			settings.Instance = InstanceSettings{ID: "one", Zone: "a"}
 			c := newControl(&settings, slog.New(slog.DiscardHandler), nil)
 			now := time.Unix(1000, 0)
-			c.replace(now, []platform.Item{{Key: "servers/i-1", Value: entry, Revision: 5}}, 5)
+			c.applyFullRead(now, []platform.Item{{Key: "servers/i-1", Value: entry, Revision: 5}}, 5)
 			if tc.othersAhead {
-				c.hear(now.Add(time.Second), &message{From: c.peer + 1, Revision: 9})
+				c.handleMessage(now.Add(time.Second), &message{From: c.peer + 1, Revision: 9})
 			}
 			back := now.Add(12 * time.Second)
-			c.trouble = back
-			c.replace(back, nil, 9)
+			c.lastStoreError = back
+			c.applyFullRead(back, nil, 9)
 			if kept := len(c.registry.keys()) == 1; kept != tc.kept {
 				t.Errorf("kept %v", kept)
 			}
@@ -195,7 +195,7 @@
 // The store takes away the registration of an instance that has just joined and was not heard yet.
 func TestAnInstanceStaysWhileItIsHeardOrHasJustJoined(t *testing.T) {
 	now := time.Unix(1000, 0)
-	value, err := cbor.Marshal(memberRecord{Peer: 7, Zone: "a", Peers: netip.MustParseAddrPort("10.1.0.1:7540")})
+	value, err := cbor.Marshal(memberRecord{Peer: 7, Zone: "a", PeerAddr: netip.MustParseAddrPort("10.1.0.1:7540")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,14 +213,14 @@
 		m.put(now, memberPrefix+"one", value)
 		at := now.Add(tc.after)
 		if tc.heard {
-			m.hear(at, &message{From: 7, Leaving: tc.leaving})
+			m.recordMessage(at, &message{From: 7, Leaving: tc.leaving})
 		}
 		m.remove(at, memberPrefix+"one")
 		m.expire(at)
-		if got := len(m.list) == 1; got != tc.stays {
+		if got := len(m.byKey) == 1; got != tc.stays {
 			t.Errorf("%s: stays %v", name, got)
 		}
-		if m.expire(at.Add(silenceTimeout + time.Millisecond)); len(m.list) != 0 {
+		if m.expire(at.Add(silenceTimeout + time.Millisecond)); len(m.byKey) != 0 {
 			t.Errorf("%s: stays though it is silent", name)
 		}
 	}
@@ -306,7 +306,7 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if s.Listen.Peers != "10.1.0.34:7540" || s.Retry != tc.retry || s.Promises.DrainWithin != tc.drain || s.Place.FloorShare != tc.floor || s.Instance.Link != tc.link || s.Instance.FirstStart != (name != "least") {
+		if s.Listen.Peers != "10.1.0.34:7540" || s.Retry != tc.retry || s.Promises.DrainWithin != tc.drain || s.Place.FloorShare != tc.floor || s.Instance.LinkMbps != tc.link || s.Instance.FirstStart != (name != "least") {
 			t.Errorf("%s: got %+v", name, s)
 		}
 	}
