--- a/cmd/damaskgate/main.go
+++ b/cmd/damaskgate/main.go
@@ -24,8 +24,8 @@
 	exitAddress  = 3
 )
 
-// gcPercent lets the heap grow by a quarter before it is collected: an instance holds little,
-// and its memory is dearer than its processor time.
+// gcPercent lets the heap grow by a quarter between garbage collections: an instance's live heap is
+// small, and memory costs more than processor time.
 const gcPercent = 25
 
 func main() {
--- a/internal/gateway/apply.go
+++ b/internal/gateway/apply.go
@@ -8,10 +8,10 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// replace takes in everything that the store held at a revision.
+// applyFullRead applies a read of all keys of the store at a revision.
 func (c *control) applyFullRead(now time.Time, items []platform.Item, at platform.Revision) {
 	if c.synced && at < c.revision {
-		return // Others have told of later changes meanwhile.
+		return // Later changes were forwarded during the read.
 	}
 	first := !c.synced
 	c.setQuiet(first)
@@ -34,18 +34,18 @@
 	changed = c.registry.expire(now) || changed
 	c.synced = true
 	if first {
-		c.log.Info("store read", "revision", uint64(at), "upstreams", len(c.registry.entries), "peers", len(c.members.byKey))
+		c.log.Info("first full read of the store done", "revision", uint64(at), "upstreams", len(c.registry.entries), "peers", len(c.members.byKey))
 	}
 	c.finishUpdate(now, at, changed)
 }
 
-// change takes in what has changed in the store.
+// applyChanges applies changes of the store up to a revision.
 func (c *control) applyChanges(now time.Time, items []platform.Item, at platform.Revision) {
 	c.setQuiet(!c.shouldFollow.Load())
 	changed := false
 	for _, item := range items {
 		switch {
-		case item.Revision <= c.revision: // It was told of before.
+		case item.Revision <= c.revision: // Applied before.
 		case item.Deleted:
 			changed = c.handleDeleted(now, item.Key) || changed
 		default:
@@ -55,8 +55,8 @@
 	c.finishUpdate(now, at, changed)
 }
 
-// quiet sets whether registrations are logged one by one: those of the first read are not, and
-// later ones only by the followers of the store, once or twice in a zone.
+// setQuiet sets whether changes of registrations go unlogged: those of the first read always do.
+// Later ones are logged by the followers of the store alone, so that a zone logs each once or twice.
 func (c *control) setQuiet(on bool) {
 	c.registry.quiet, c.members.quiet = on, on
 }
@@ -72,7 +72,7 @@
 	c.publish(now)
 }
 
-// put takes in one key and tells whether the endpoints changed.
+// put applies a write of one key, and reports whether the endpoints changed.
 func (c *control) put(now time.Time, item platform.Item) bool {
 	switch {
 	case item.Key == platform.ConfigKey:
@@ -85,9 +85,9 @@
 	return false
 }
 
-// miss takes in that a registration of an upstream was not there when all keys were read,
-// and tells whether the endpoints changed. It may have lapsed while the store was away; the
-// store is back since another instance was ahead, if one was.
+// handleMissing handles an upstream's registration that was missing in a full read, and reports
+// whether the endpoints changed. The registration may have expired in an outage of the store, whose
+// end is taken as the time when another instance was first ahead of this one, or else as now.
 func (c *control) handleMissing(now time.Time, key string) bool {
 	if !c.storeFailing(now) {
 		return c.registry.remove(key)
@@ -99,7 +99,7 @@
 	return c.registry.markMissing(back, key)
 }
 
-// drop takes in that a key was removed and tells whether the endpoints changed.
+// handleDeleted applies the deletion of one key, and reports whether the endpoints changed.
 func (c *control) handleDeleted(now time.Time, key string) bool {
 	switch {
 	case strings.HasPrefix(key, platform.UpstreamPrefix):
@@ -112,7 +112,7 @@
 	return false
 }
 
-// notify wakes the receiver of a channel with room for one.
+// notify signals on a channel with a buffer of one, and does not block.
 func notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -120,11 +120,12 @@
 	}
 }
 
-// adopt takes in a configuration that is newer than the one in force.
+// applyConfig puts a configuration in force if it is newer than the present one, and reports
+// whether it did.
 func (c *control) applyConfig(value []byte) bool {
 	next, err := platform.DecodeConfig(value)
 	if err != nil {
-		c.log.Error("configuration ignored", "error", err.Error())
+		c.log.Error("invalid configuration; keeping the one in force", "error", err.Error())
 		return false
 	}
 	if c.config != nil && next.Version <= c.config.Version {
@@ -136,11 +137,12 @@
 	return true
 }
 
-// noteOnce logs what of the configuration is not understood, once while it stays so.
+// logNewWarnings logs the parts of the configuration that are not supported: each once, not again
+// with each version that still has it.
 func (c *control) logNewWarnings(warnings []string) {
 	for _, warning := range warnings {
 		if !slices.Contains(c.warnings, warning) {
-			c.log.Warn("configuration understood in part", "note", warning)
+			c.log.Warn("part of the configuration is not supported", "note", warning)
 		}
 	}
 	c.warnings = warnings
--- a/internal/gateway/auxserver.go
+++ b/internal/gateway/auxserver.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// sideTimeout bounds the reading and writing of one short request.
+	// auxTimeout bounds reading a request, and writing its response.
 	auxTimeout = 3 * time.Second
-	// sideIdle is how long a caller may keep such a connection.
+	// auxIdleTimeout is how long an idle connection is kept open.
 	auxIdleTimeout = 10 * time.Second
 )
 
-// side is a listener for short requests about the instance itself.
+// auxServer serves short requests about the instance itself: readiness, discovery or metrics.
 type auxServer struct {
 	listener net.Listener
 	server   *fasthttp.Server
@@ -50,7 +50,7 @@
 	return s.listener.Close()
 }
 
-// serveReady answers the platform's check.
+// serveReady serves the platform's readiness check.
 func (g *Gateway) serveReady(ctx *fasthttp.RequestCtx) {
 	switch {
 	case string(ctx.Path()) != platform.PathReadiness:
@@ -60,7 +60,7 @@
 	}
 }
 
-// serveDiscovery tells a caller where to connect.
+// serveDiscovery returns the addresses that a caller may connect to.
 func (g *Gateway) serveDiscovery(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != platform.PathDiscovery {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -73,12 +73,12 @@
 		return
 	}
 	if err := platform.WriteDiscovery(&ctx.Response, list, g.current().Promises.DiscoveryTTL); err != nil {
-		g.log.Error("discovery not answered", "error", err.Error())
+		g.log.Error("cannot write a discovery response; answering with status 500", "error", err.Error())
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 	}
 }
 
-// addresses returns where callers of a zone connect.
+// addresses returns the addresses for callers of a zone, this instance's own included while ready.
 func (g *Gateway) addresses(zone string) []string {
 	alive := g.control.snapshot.Load().alive
 	if g.ready() {
@@ -87,13 +87,13 @@
 	return addresses(alive, zone)
 }
 
-// serveMetrics writes the counters.
+// serveMetrics serves the metrics as text.
 func (g *Gateway) serveMetrics(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType("text/plain; charset=utf-8")
 	ctx.SetBodyString(g.metrics.text(g.gauges()))
 }
 
-// gauges returns what is counted or measured besides answers.
+// gauges returns the metrics other than those of answers, by name.
 func (g *Gateway) gauges() map[string]int64 {
 	counts := g.forwarder.Counts()
 	gauges := map[string]int64{
--- a/internal/gateway/broker.go
+++ b/internal/gateway/broker.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// goodWorth is the worth from which an endpoint of the own zone is taken without a look at
+	// localMinScore is the score from which an endpoint of the own zone is used without trying
 	// other zones.
 	localMinScore = 0.55
-	// betterBy is how much more than at home an endpoint elsewhere must be worth.
+	// remoteScoreMargin is how much an endpoint of another zone must score above the best local one.
 	remoteScoreMargin = 0.1
-	// endingMargin is how long after its request's deadline a grant is counted out untold.
+	// grantExpiryMargin is how long after its request's deadline a grant without a reported end expires.
 	grantExpiryMargin = 500 * time.Millisecond
-	// unreached is the end of a request whose asker could not reach the endpoint.
+	// endSendFailed is the end of a request that its requester could not send to the endpoint.
 	endSendFailed dispatch.EventKind = 255
 )
 
-// desk is what an instance knows as a broker: the endpoints of its zone, and what it has
-// granted there. It is owned by the control loop.
+// brokerState is an instance's state as a broker: the endpoints of its zone and the grants on
+// them. It is owned by the control loop.
 type brokerState struct {
 	machine *dispatch.Machine
 	grants  *broker.GrantTable
-	zones   []string // With instances; endpoints of other zones are shared out over them.
+	zones   []string // Zones with instances. Endpoints in zones without any are divided among them.
 }
 
-// newDesk returns the desk of an instance that begins to broker. The retry budget is shared
-// out over the zones.
+// newBroker returns an empty broker state. The retry budget is divided among the zones, as each
+// has its own broker.
 func (c *control) newBroker(now time.Time) *brokerState {
 	cfg := c.dispatchConfig()
 	cfg.NoReports = true
@@ -38,7 +38,7 @@
 	return &brokerState{machine: dispatch.New(cfg, now, rand.NewPCG(rand.Uint64(), rand.Uint64())), grants: broker.NewGrantTable()}
 }
 
-// zones returns the availability zones that have instances, in order.
+// zones returns the availability zones that have instances, sorted.
 func (c *control) zones() []string {
 	zones := []string{c.settings.Instance.Zone}
 	for _, e := range c.members.byKey {
@@ -50,7 +50,7 @@
 	return zones
 }
 
-// openDesk returns this instance's desk; the first question opens it.
+// ensureBroker returns this instance's broker state, and creates it for the first request.
 func (c *control) ensureBroker(now time.Time) *brokerState {
 	if c.broker == nil {
 		c.broker = c.newBroker(now)
@@ -59,7 +59,7 @@
 	return c.broker
 }
 
-// applyDesk tells the desk which endpoints are its own.
+// applyBrokerEndpoints sets the endpoints that this instance places requests on as a broker.
 func (c *control) applyBrokerEndpoints(now time.Time) {
 	if c.broker == nil || c.config == nil {
 		return
@@ -75,7 +75,7 @@
 	c.broker.machine.SetEndpoints(now, list)
 }
 
-// answer places another instance's request, or this one's own.
+// handlePlacementRequest places a request of another instance, or of this one.
 func (c *control) handlePlacementRequest(now time.Time, msg placementRequest) {
 	state := c.ensureBroker(now)
 	grantID := broker.GrantID{Requester: uint64(msg.From), Seq: msg.Seq}
@@ -100,7 +100,8 @@
 	})
 }
 
-// decline passes a question on that has no good endpoint here, or answers why it gets none.
+// declineOrForward forwards a request without a good endpoint here to a broker of another zone or
+// back to its home broker, or replies why it gets no endpoint.
 func (c *control) declineOrForward(now time.Time, msg placementRequest, r *dispatch.Rejection) {
 	tryRemote := r.Reason == dispatch.ScoreTooLow || r.Reason == dispatch.NoEndpoint || r.Reason == dispatch.Overloaded
 	switch {
@@ -130,11 +131,12 @@
 	})
 }
 
-// forwardedRetryAfter is the least time after which a request that found no endpoint in two
-// zones may come back.
+// minRetryAfter is the shortest Retry-After for a request that was rejected by a broker: it may
+// have been tried in two zones.
 const minRetryAfter = 100 * time.Millisecond
 
-// awayBroker returns a service's broker in another zone, drawn by chance.
+// pickRemoteBroker returns a service's broker in a random other zone. ok is false if there is
+// no other zone, or none of its coordinators answers.
 func (c *control) pickRemoteBroker(now time.Time, service string) (broker.Instance, bool) {
 	var zones []string
 	for zone, coordinators := range c.remoteCoordinators {
@@ -156,7 +158,7 @@
 	c.sendTo(r.To, datagramPlacementReply, r)
 }
 
-// hearEnding takes in what became of a grant.
+// handleGrantEnd records how a granted request ended, or that it is overdue.
 func (c *control) handleGrantEnd(now time.Time, e grantEnd) {
 	if c.broker == nil {
 		return
@@ -178,7 +180,7 @@
 	}
 }
 
-// tickDesk counts out the grants that are over, and takes in which zones have instances.
+// tickBroker expires grants, and updates the endpoints when the zones with instances have changed.
 func (c *control) tickBroker(now time.Time) {
 	if c.broker == nil {
 		return
--- a/internal/gateway/brokerwire.go
+++ b/internal/gateway/brokerwire.go
@@ -11,44 +11,44 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// question asks a service's broker for an endpoint. Times are milliseconds, shares parts of
-// a thousand.
+// placementRequest requests an endpoint from a service's broker. Times are in milliseconds, shares
+// and scores in thousandths.
 type placementRequest struct {
 	_             struct{} `cbor:",toarray"`
 	From          dispatch.PeerID
-	Seq           uint64 // Of the asker; it names the grant.
+	Seq           uint64 // Sequence number at the requester; it identifies the grant.
 	Hops          uint8
-	HomeBroker    dispatch.PeerID // Broker of the asker's zone, to which a question that was passed on comes back.
+	HomeBroker    dispatch.PeerID // Broker of the requester's zone, to which a forwarded request is returned.
 	Service       string
 	Flags         uint8
 	CrossZoneCost int
-	BestScore     int // Worth of the best endpoint at home.
-	Objective     int // Left; negative once it has passed.
-	Deadline      int // Left.
+	BestScore     int // Score of the best endpoint of the requester's zone.
+	Objective     int // Time left; negative once it has passed.
+	Deadline      int // Time left.
 	Tried         []dispatch.EndpointID
 }
 
-// Flags of a question.
+// Flags of a placementRequest.
 const (
 	flagIdempotent = 1 << iota
 	flagRetry
 	flagHedge
 )
 
-// Hops of a question.
+// Hops of a placementRequest.
 const (
-	hopLocal    = iota // To the broker of the asker's zone.
-	hopRemote          // Passed on to another zone's broker.
-	hopReturned        // Back home: nothing better was found.
+	hopLocal    = iota // To the broker of the requester's zone.
+	hopRemote          // Forwarded to another zone's broker.
+	hopReturned        // Returned to the home broker: the other zone had no better endpoint.
 )
 
-// reply answers a question: an endpoint, or why none.
+// placementReply is a broker's reply: an endpoint, or why there is none.
 type placementReply struct {
 	_               struct{} `cbor:",toarray"`
 	Broker          dispatch.PeerID
-	To              dispatch.PeerID // The asker's life: one that has restarted counts its questions anew.
+	To              dispatch.PeerID // Incarnation of the requester: a restart begins the sequence numbers anew.
 	Seq             uint64
-	Reason          dispatch.Reason // 0 where there is an endpoint.
+	Reason          dispatch.Reason // 0 if there is an endpoint.
 	Endpoint        dispatch.EndpointID
 	Chance          int
 	InFlight        int
@@ -57,7 +57,7 @@
 	ExpectedLatency int
 }
 
-// ending tells a broker what became of a grant.
+// grantEnd reports to a broker how a granted request ended, or that it is overdue.
 type grantEnd struct {
 	_             struct{} `cbor:",toarray"`
 	From          dispatch.PeerID
@@ -66,7 +66,7 @@
 	LatencyMillis int
 }
 
-// roll is what a keeper tells of who is there.
+// livenessReport is a coordinator's report of silent instances and of followers of the store.
 type livenessReport struct {
 	_            struct{} `cbor:",toarray"`
 	From         dispatch.PeerID
@@ -76,14 +76,14 @@
 	Leaving      bool
 	Silent       []dispatch.PeerID // Instances that are silent or leaving.
 	Followers    []dispatch.PeerID // Other instances of the zone that follow the store.
-	SilentZones  []string          // Zones of which nobody is heard.
+	SilentZones  []string          // Zones in which every instance is silent.
 }
 
 const (
 	perMille = 1000
-	// triedMost bounds the endpoints that a question excludes.
+	// maxTried bounds the endpoints that a placementRequest excludes.
 	maxTried = 24
-	// silentMost keeps a roll within a datagram: an instance takes at most 9 bytes.
+	// maxReportedSilent keeps a livenessReport within a datagram: an instance takes at most 9 bytes.
 	maxReportedSilent = 120
 )
 
@@ -95,7 +95,7 @@
 	return float64(n) / perMille
 }
 
-// questionOf returns the question for a request.
+// newPlacementRequest returns the message for a request.
 func newPlacementRequest(from dispatch.PeerID, seq uint64, now time.Time, req dispatch.Request) placementRequest {
 	msg := placementRequest{
 		From: from, Seq: seq, Service: req.Service, CrossZoneCost: toPerMille(req.CrossZoneCost),
@@ -110,7 +110,7 @@
 	return msg
 }
 
-// ask returns the request that a question is about.
+// request returns the request that is to be placed.
 func (msg *placementRequest) request(now time.Time) dispatch.Request {
 	return dispatch.Request{
 		Service: msg.Service, Idempotent: msg.Flags&flagIdempotent != 0, Retry: msg.Flags&flagRetry != 0, Hedge: msg.Flags&flagHedge != 0,
@@ -119,16 +119,16 @@
 	}
 }
 
-// encodeKind encodes a message into a datagram of a kind.
+// encodeKind encodes a message into a datagram: its kind as the first byte, then CBOR.
 func encodeKind(kind byte, m any) ([]byte, error) {
 	body, err := cbor.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("encode a message of kind %d: %w", kind, err)
+		return nil, fmt.Errorf("encode a datagram of kind %d: %w", kind, err)
 	}
 	return append([]byte{kind}, body...), nil
 }
 
-// decodeKind decodes a datagram, without its first byte.
+// decodeKind decodes a datagram that is given without its first byte.
 func decodeKind[T any](body []byte) (T, error) {
 	var m T
 	if err := cbor.Unmarshal(body, &m); err != nil {
--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// followerTimeout is a few intervals of heartbeats, after which a silent follower of the store is replaced.
+	// followerTimeout is a few heartbeat intervals: after it, a silent follower of the store is replaced.
 	followerTimeout = 1200 * time.Millisecond
-	// lagTimeout is how long an instance that is told of changes may lack one that others
-	// have: a lost datagram, or a change too large for one.
+	// receiverLagTimeout is how long an instance that gets changes from a follower may lack one
+	// that others have before it requests it: a datagram was lost, or the change was too large.
 	receiverLagTimeout = 200 * time.Millisecond
 )
 
-// feed is a run of changes of the store, told by an instance that follows it to those of its
-// zone that do not. Whoever knows the store up to After knows it up to At with them.
+// changeBatch holds consecutive changes of the store. A follower of the store sends it to the
+// instances of its zone that don't follow. It leads from revision After to revision At.
 type changeBatch struct {
 	_     struct{} `cbor:",toarray"`
 	From  dispatch.PeerID
@@ -28,7 +28,7 @@
 	Items []keyChange
 }
 
-// feedItem is one key of the store as it was written, or the end of one.
+// keyChange is a write or a deletion of one key of the store.
 type keyChange struct {
 	_        struct{} `cbor:",toarray"`
 	Key      string
@@ -37,7 +37,7 @@
 	Deleted  bool
 }
 
-// newFeed returns the changes of a watch in the order of their revisions.
+// newChangeBatch returns the changes of a watch, sorted by revision.
 func newChangeBatch(from dispatch.PeerID, items []platform.Item, after, at platform.Revision) changeBatch {
 	b := changeBatch{From: from, After: after, At: max(at, after)}
 	for _, item := range items {
@@ -47,8 +47,8 @@
 	return b
 }
 
-// datagrams cuts a feed into datagrams. A change that is too large even for pieces is left
-// out: those who lack it see by the revision that others know more, and read it themselves.
+// datagrams splits a batch into datagrams. A change that is too large even for fragments is left
+// out: receivers notice by the revisions of others that they are behind, and read the store.
 func (b changeBatch) datagrams() ([][]byte, error) {
 	data, err := encodeKind(datagramChanges, b)
 	if err != nil {
@@ -73,7 +73,8 @@
 	return append(head, tail...), err
 }
 
-// cut returns where to cut a feed, never between changes of one revision; 0 where it cannot be.
+// splitIndex returns the index nearest to the middle at which a batch can be split: never between
+// changes of one revision. It returns 0 if there is none.
 func (b changeBatch) splitIndex() int {
 	for away := range len(b.Items) {
 		for _, k := range []int{len(b.Items)/2 - away, len(b.Items)/2 + away} {
@@ -85,18 +86,19 @@
 	return 0
 }
 
-// pass tells the instances of this zone that do not follow the store what a watch brought.
+// forwardChanges sends the changes of a watch to the other instances of this zone, and keeps them
+// to be resent.
 func (c *control) forwardChanges(items []platform.Item, after, at platform.Revision) {
 	b := newChangeBatch(c.peer, items, after, at)
 	c.history.add(time.Now(), b)
 	c.sendChanges(b, c.snapshot.Load().alive...)
 }
 
-// sendFeed tells those of some instances that are of this zone what a watch brought.
+// sendChanges sends a batch to those of some instances that are in this zone.
 func (c *control) sendChanges(b changeBatch, to ...*member) {
 	datagrams, err := b.datagrams()
 	if err != nil {
-		c.log.Error("changes of the store not passed on", "after", uint64(b.After), "at", uint64(b.At), "error", err.Error())
+		c.log.Error("cannot encode changes of the store; not forwarding them to the zone", "after", uint64(b.After), "at", uint64(b.At), "error", err.Error())
 		return
 	}
 	var zone []netip.AddrPort
@@ -110,7 +112,7 @@
 	}
 }
 
-// take takes in what a follower of the store tells.
+// handleChanges applies a batch from a follower of the store.
 func (c *control) handleChanges(now time.Time, b changeBatch) {
 	if !c.synced || b.At <= c.revision {
 		return
@@ -127,8 +129,9 @@
 	c.applyChanges(now, items, b.At)
 }
 
-// takeBeyond takes in a feed after a gap. A configuration is whole and newer or not, whatever
-// was missed before it; the rest waits until the gap is filled.
+// handleChangesAfterGap applies what it can of a batch that follows missed changes. A configuration
+// is complete and carries its own version, so it needs no earlier change; the rest is read with
+// the missed changes, which are requested after receiverLagTimeout.
 func (c *control) handleChangesAfterGap(now time.Time, b changeBatch) {
 	for _, item := range b.Items {
 		if item.Key == platform.ConfigKey && !item.Deleted && c.applyConfig(item.Value) {
@@ -142,13 +145,13 @@
 	}
 }
 
-// assign decides whether this instance follows the store itself.
+// updateFollowing decides whether this instance has to follow the store itself.
 func (c *control) updateFollowing(now time.Time) {
 	peers := c.members.zonePeers(now)
 	c.preferredFollower.Store(c.followPolicy.IsPreferredFollower(peers))
 	if on := c.followPolicy.ShouldFollow(now, peers); on != c.shouldFollow.Load() {
 		c.shouldFollow.Store(on)
-		c.log.Info("follows the store", "itself", on, "peers_in_zone", len(peers))
+		c.log.Info("role as a follower of the store changed", "itself", on, "peers_in_zone", len(peers))
 		if !on {
 			c.setFollowing(false)
 		}
@@ -156,7 +159,8 @@
 	}
 }
 
-// follows notes whether this instance follows the store, and tells the others at once.
+// setFollowing records whether this instance follows the store, and reports a change to the others
+// at once.
 func (c *control) setFollowing(on bool) {
 	on = on && c.shouldFollow.Load()
 	if on == c.following {
@@ -166,7 +170,7 @@
 	c.sendReports()
 }
 
-// lagged tells whether others have known the store further than this instance for too long.
+// isBehind reports whether other instances have had a later revision of the store for too long.
 func (c *control) isBehind(now time.Time) bool {
 	bound := followerLagTimeout
 	if !c.shouldFollow.Load() {
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -355,12 +355,16 @@
 	}
 	w.store.SetFault(standin.Unavailable)
 	for _, in := range instances {
-		eventually(t, "the loss is noticed", func() bool { return strings.Contains(in.logs.String(), `"msg":"store lost"`) })
+		eventually(t, "the loss is noticed", func() bool {
+			return strings.Contains(in.logs.String(), `"msg":"store unavailable; serving with the last known state"`)
+		})
 	}
 	w.store.Delete("servers/i-1")
 	w.store.SetFault(standin.NoFault)
 	for _, in := range instances {
-		eventually(t, "the lapse is known", func() bool { return strings.Contains(in.logs.String(), "registration lapsed with the store") })
+		eventually(t, "the lapse is known", func() bool {
+			return strings.Contains(in.logs.String(), "upstream registration missing after a store outage")
+		})
 	}
 }
 
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -21,36 +21,36 @@
 )
 
 const (
-	// tickInterval is how often the control loop looks at what has become old, and tells
-	// others that it lives when it has told them nothing else.
+	// tickInterval is how often the control loop expires old state, and the heartbeat interval:
+	// a heartbeat is sent when no other message was.
 	tickInterval = 500 * time.Millisecond
-	// commandBacklog holds the commands of a burst of requests.
+	// commandBacklog is sized for the commands of a burst of requests.
 	commandBacklog = 256
-	// peerTimeout is over the longest deadline of callers, after which nothing of a silent peer is in flight.
+	// peerTimeout is longer than the longest deadline of callers: after it, a silent peer has no request in flight.
 	peerTimeout = 6 * time.Second
-	// troubleWindow is how long after a failed call of the store its keys may be missing for no other reason.
+	// storeErrorWindow is how long after a failed call of the store a missing key may be due to the failure alone.
 	storeErrorWindow = 3 * time.Second
-	// behindTimeout is how long another instance may have followed the store further than this one
-	// before the watch is taken for dead.
+	// followerLagTimeout is how long another instance may report a later revision of the store than
+	// this follower has before the follower's watch is considered dead.
 	followerLagTimeout = 800 * time.Millisecond
 )
 
-// spells are the mean times that upstreams stay good and go on failing, by the ages of
-// outcomes on the users' days (docs/MEASUREMENTS.md).
+// healthModel holds the mean times that upstreams stay healthy and stay failing. They follow from
+// how outcomes change with age in the users' traffic (docs/MEASUREMENTS.md).
 var healthModel = outlook.Model{MeanHealthy: 21 * time.Second, MeanFailing: 9 * time.Second}
 
-// Snapshot is what the control loop has decided, for all other goroutines. It is immutable.
+// Snapshot is the control loop's state as other goroutines read it. It is immutable.
 type Snapshot struct {
 	Version    platform.ConfigVersion
 	router     *router // Nil before the first configuration.
 	limits     callers.Limits
 	pause      pause.Detector
-	alive      []*member // Members as of the snapshot; their records alone may be read.
+	alive      []*member // Only the embedded memberRecord may be read; the control loop changes the rest.
 	peerRoutes *peerRoutes
 }
 
-// doubtful tells whether what the snapshot says may have run out: the process has stood still
-// since, or stood still before and has no news yet.
+// mayBeStale reports whether the snapshot may be out of date: the process has been paused since
+// it was made, or was paused before and has not reread the store yet.
 func (s *Snapshot) mayBeStale(now time.Time) bool {
 	return s.pause.MayBeStale(now)
 }
@@ -60,53 +60,53 @@
 	settings          *Settings
 	log               *slog.Logger
 	peer              dispatch.PeerID
-	self              memberRecord // What this instance registers.
+	self              memberRecord // This instance's registration.
 	socket            *peerSocket
 	relay             *relay
 	dropIdle          func() // Closes the idle connections to upstreams.
 	commands          chan func()
 	snapshot          atomic.Pointer[Snapshot]
-	resync            chan bool // Asks for a look at the store; true: at all of it.
+	resync            chan bool // Requests a read of the store: of all keys if true, else of the missed changes.
 	done              chan struct{}
-	followChanged     chan struct{} // Told when this instance is to follow the store, or no more.
-	deregistered      chan struct{} // Told when this instance's own registration went.
-	knownRevision     atomic.Uint64 // Revision of the store up to which it is known here.
-	upToDate          atomic.Bool   // Nobody is known to know the store further.
-	shouldFollow      atomic.Bool   // This instance is to follow the store itself.
-	preferredFollower atomic.Bool   // It would, if the store refused nobody.
+	followChanged     chan struct{} // Signaled when shouldFollow changes.
+	deregistered      chan struct{} // Signaled when this instance's own registration was removed.
+	knownRevision     atomic.Uint64 // Copy of revision for other goroutines.
+	upToDate          atomic.Bool   // No other instance has reported a later revision of the store.
+	shouldFollow      atomic.Bool   // This instance has to follow the store itself.
+	preferredFollower atomic.Bool   // It would have to if the store rejected no instance.
 
-	brokerTimeouts atomic.Int64 // Questions that a broker did not answer.
+	brokerTimeouts atomic.Int64 // Placement requests that a broker did not answer in time.
 
 	// Owned by the loop.
 	machine         *dispatch.Machine
 	config          *platform.Config
-	warnings        []string // On the configuration, as logged.
+	warnings        []string // About the configuration in force; they are logged already.
 	registry        *registry
 	members         *members
-	synced          bool // The store was read once.
+	synced          bool // All keys of the store were read at least once.
 	revision        platform.Revision
-	lastStoreError  time.Time // Last failed call of the store.
-	behindSince     time.Time // Since when another instance has followed the store further; zero while none has.
-	resendRequested bool      // A follower was asked for what is missing here.
-	history         history   // What this instance has told its zone of the store, or was told.
-	firstBehind     time.Time // The same, but since the last change that this instance read.
+	lastStoreError  time.Time // Time of the last failed call of the store.
+	behindSince     time.Time // When another instance reported a later revision, or the last attempt to catch up; zero while up to date.
+	resendRequested bool      // A follower was sent a resendRequest for the missing changes.
+	history         history   // Store changes that this instance forwarded or received lately.
+	firstBehind     time.Time // Like behindSince, but not reset by attempts to catch up.
 	followPolicy    *following.Machine
-	following       bool // This instance follows the store.
+	following       bool // This instance follows the store, and its last call succeeded.
 	placement       placementClient
-	broker          *brokerState // Nil until another instance asks this one as a broker.
+	broker          *brokerState // Nil until the first placement request.
 
-	coordinators       []broker.Instance            // Of this zone; none in a small fleet.
-	remoteCoordinators map[string][]broker.Instance // Of other zones.
+	coordinators       []broker.Instance            // Of this zone; empty in a small fleet.
+	remoteCoordinators map[string][]broker.Instance // By other zone.
 	coordinatorSince   time.Time
 
 	leaving  bool
 	pause    pause.Detector
-	reports  []dispatch.Event
-	urgent   bool      // The reports are.
-	lastSent time.Time // Last message to the others.
+	reports  []dispatch.Event // To be sent to the other instances.
+	urgent   bool             // The reports must not wait at relays.
+	lastSent time.Time        // Time of the last message or heartbeat to the other instances.
 }
 
-// acquired is the outcome of an Acquire.
+// acquireResult is the outcome of Acquire: a grant, or why there is none.
 type acquireResult struct {
 	grant     dispatch.Grant
 	rejection *dispatch.Rejection
@@ -169,11 +169,12 @@
 	}
 }
 
-// settle tells the others what has happened, once no more commands wait.
+// collectReports takes over the machine's new events, and sends them once the command queue is
+// empty or a message is full.
 func (c *control) collectReports() {
 	events, urgent := c.machine.TakeReports()
 	if c.brokered() {
-		return // The brokers are told, and nobody else.
+		return // Only the brokers need to know; they get a grantEnd for each request.
 	}
 	c.reports, c.urgent = append(c.reports, events...), c.urgent || urgent
 	if len(c.reports) > 0 && (len(c.commands) == 0 || len(c.reports) >= maxEvents) {
@@ -181,7 +182,7 @@
 	}
 }
 
-// tell sends what has happened to all other instances.
+// sendReports sends the collected events to all other instances, or a heartbeat if there are none.
 func (c *control) sendReports() {
 	if c.brokered() {
 		c.sendHeartbeat(time.Now())
@@ -192,7 +193,7 @@
 		n := min(len(c.reports), maxEvents)
 		data, err := encodeMessage(c.message(time.Now(), c.reports[:n]))
 		if err != nil {
-			c.log.Error("message not sent", "error", err.Error())
+			c.log.Error("cannot encode the message to other instances; it is not sent", "error", err.Error())
 		} else {
 			c.broadcast(data)
 		}
@@ -202,12 +203,12 @@
 	c.lastSent = time.Now()
 }
 
-// spread sends a message to all other instances.
+// broadcast sends an encoded message to all other instances.
 func (c *control) broadcast(data []byte) {
 	broadcast(data, c.urgent, c.snapshot.Load().peerRoutes, c.socket.send, c.relay)
 }
 
-// message returns what the others are told of this instance, with some events.
+// message returns this instance's state and some events, as a message to the others.
 func (c *control) message(now time.Time, events []dispatch.Event) message {
 	return message{
 		From: c.peer, Revision: c.revision, Leaving: c.leaving, HasFullRetryWindow: c.machine.HasFullRetryWindow(now),
@@ -215,7 +216,7 @@
 	}
 }
 
-// post hands a command to the loop. It returns false when the loop has ended.
+// post queues a command for the control loop. It returns false when the loop has ended.
 func (c *control) post(command func()) bool {
 	select {
 	case c.commands <- command:
@@ -225,7 +226,7 @@
 	}
 }
 
-// tick looks at what has become old.
+// tick expires old state, publishes a new snapshot and sends a heartbeat if one is due.
 func (c *control) tick(now time.Time) {
 	c.checkPause(now)
 	c.machine.ExpirePeers(now)
@@ -242,18 +243,20 @@
 	c.catchUp(now)
 }
 
-// look goes on after a pause, in which all that is known may have run out.
+// checkPause detects a pause of the process, in which all state may have become stale. It then
+// drops the idle connections to upstreams and requests a full read of the store.
 func (c *control) checkPause(now time.Time) {
 	if !c.pause.Beat(now) {
 		return
 	}
-	c.log.Warn("the process has stood still; the store is read anew")
+	c.log.Warn("process was paused; closing idle upstream connections and rereading the store")
 	c.dropIdle()
 	c.upToDate.Store(false)
 	c.requestResync(true)
 }
 
-// catchUp asks for a look at the store when the others have known it further for too long.
+// catchUp fetches the missed changes when other instances have been ahead for too long: from a
+// follower, or from the store.
 func (c *control) catchUp(now time.Time) {
 	if !c.isBehind(now) {
 		return
@@ -262,12 +265,12 @@
 		c.resendRequested, c.behindSince = true, now
 		return
 	}
-	c.resendRequested, c.behindSince = false, time.Time{} // The store next, then a follower again: either may fail this instance.
-	c.log.Info("behind the store", "revision", uint64(c.revision), "follows_itself", c.following)
+	c.resendRequested, c.behindSince = false, time.Time{} // Alternates between the store and a follower: either may be unreachable.
+	c.log.Info("behind the other instances; reading the missed changes from the store", "revision", uint64(c.revision), "follows_itself", c.following)
 	c.requestResync(c.storeFailing(now))
 }
 
-// askAnew asks for a look at the store: for changes that were missed, or at all of it.
+// requestResync requests a read of the store: of all keys if full, else of the missed changes.
 func (c *control) requestResync(full bool) {
 	select {
 	case c.resync <- full:
@@ -275,7 +278,7 @@
 	}
 }
 
-// publish makes a new snapshot.
+// publish stores a new snapshot.
 func (c *control) publish(now time.Time) {
 	alive := c.members.alive(now)
 	c.electCoordinators(now, alive)
@@ -301,7 +304,7 @@
 	return callers.Limits{HeadBytes: l.HeaderBytes, BodyBytes: l.BodyBytes, HeadTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}
 }
 
-// hear takes in another instance's message.
+// handleMessage processes a message of another instance.
 func (c *control) handleMessage(now time.Time, m *message) {
 	if m.From == c.peer {
 		return
@@ -309,7 +312,7 @@
 	if c.members.recordMessage(now, m) {
 		c.updateFollowing(now)
 		if c.isCoordinator() {
-			c.sendHeartbeat(now) // The zone waits to hear who follows the store.
+			c.sendHeartbeat(now) // The zone's other instances learn from coordinators who follows the store.
 		}
 	}
 	if !c.brokered() || len(m.Events) > 0 {
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -10,15 +10,18 @@
 )
 
 const (
-	// keeperGrace is how long a new keeper counts nobody as silent: it has to hear them first.
+	// coordinatorWarmUp is how long a new coordinator reports nobody as silent: it must have had the
+	// time to receive their heartbeats.
 	coordinatorWarmUp = 1500 * time.Millisecond
-	// followersMost bounds the followers that a roll names; there are two, and more for a moment.
+	// maxReportedFollowers bounds the followers in a report. There are two, and briefly more while
+	// the role moves to another instance.
 	maxReportedFollowers = 8
-	// foreignKeepers is the number of keepers of another zone that are told of one's own.
+	// remoteReportTargets is the number of coordinators of each other zone that get a report.
 	remoteReportTargets = 2
 )
 
-// elect decides who keeps: in this zone, and in the others.
+// electCoordinators determines the coordinators of each zone. A fleet of fewer than
+// place.brokers_from instances has none.
 func (c *control) electCoordinators(now time.Time, alive []*member) {
 	was := c.isCoordinator()
 	c.coordinators, c.remoteCoordinators = nil, nil
@@ -40,27 +43,28 @@
 	}
 	if c.isCoordinator() && !was {
 		c.coordinatorSince = now
-		c.log.Info("keeper of the zone", "keepers", len(c.coordinators), "instances", len(c.members.byKey)+1)
+		c.log.Info("became a coordinator of the zone", "keepers", len(c.coordinators), "instances", len(c.members.byKey)+1)
 	}
 	c.members.setCoordinators(c.coordinators)
 	c.followPolicy.SetKey(c.members.followerKey(c.members.self))
 }
 
-// keeps tells whether this instance is a keeper.
+// isCoordinator reports whether this instance is a coordinator of its zone.
 func (c *control) isCoordinator() bool {
 	return slices.ContainsFunc(c.coordinators, func(i broker.Instance) bool { return i.Incarnation == uint64(c.peer) })
 }
 
-// brokered tells whether the fleet is so large that brokers place its requests.
+// brokered reports whether the fleet is so large that brokers place its requests.
 func (c *control) brokered() bool {
 	return len(c.coordinators) > 0
 }
 
-// beat tells the zone's keepers that this instance is there, and tells all what it keeps.
+// sendHeartbeat sends a heartbeat to the zone's coordinators. A coordinator also sends its liveness
+// report to its zone and to coordinators of the other zones.
 func (c *control) sendHeartbeat(now time.Time) {
 	data, err := encodeMessage(c.message(now, nil))
 	if err != nil {
-		c.log.Error("message not sent", "error", err.Error())
+		c.log.Error("cannot encode the heartbeat; it is not sent", "error", err.Error())
 		return
 	}
 	c.socket.send(data, c.addrsOf(c.coordinators))
@@ -68,7 +72,7 @@
 		return
 	}
 	if data, err = encodeKind(datagramLiveness, c.livenessReport(now)); err != nil {
-		c.log.Error("roll not sent", "error", err.Error())
+		c.log.Error("cannot encode the liveness report; it is not sent", "error", err.Error())
 		return
 	}
 	c.socket.send(data, c.snapshot.Load().peerRoutes.zone)
@@ -77,7 +81,7 @@
 	}
 }
 
-// peersOf returns where datagrams for some instances go, without this one.
+// addrsOf returns the datagram addresses of some instances, without this one.
 func (c *control) addrsOf(list []broker.Instance) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, i := range list {
@@ -88,7 +92,7 @@
 	return out
 }
 
-// roll returns what this keeper tells of who is there.
+// livenessReport returns this coordinator's report of silent instances and of followers.
 func (c *control) livenessReport(now time.Time) livenessReport {
 	r := livenessReport{
 		From: c.peer, Revision: c.revision, Following: c.following, StoreFailing: c.following && c.storeFailing(now), Leaving: c.leaving,
@@ -123,8 +127,8 @@
 	return r
 }
 
-// hearRoll takes in what a keeper tells: of all instances where it is of this zone, of its own
-// zone's where it is of another.
+// handleLivenessReport processes a coordinator's report. One of this zone covers all instances;
+// one of another zone, the instances of that zone.
 func (c *control) handleLivenessReport(now time.Time, r livenessReport) {
 	sender := c.members.byPeer[r.From]
 	if sender == nil {
@@ -143,7 +147,7 @@
 		switch {
 		case e == sender || sender.Zone != c.members.zone && e.Zone != sender.Zone:
 		case c.isCoordinator() && e.Zone == c.members.zone:
-			// A keeper hears the instances of its zone itself.
+			// A coordinator gets the heartbeats of its zone's instances itself.
 		case silent[e.Peer] || slices.Contains(r.SilentZones, e.Zone):
 			e.markSilent(now)
 		default:
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -13,52 +13,56 @@
 )
 
 const (
-	// readTimeout is many times the store's usual answer of 4 ms, and short of the 2 s in which changes must be in force.
+	// readTimeout is many times the store's usual response time of 4 ms, and less than the 2 s in
+	// which changes must take effect.
 	readTimeout = time.Second
-	// watchWait is how long a watch waits for a change; a dead connection shows by keep-alives.
+	// watchWait is how long a watch waits for a change. Keep-alives detect a dead connection sooner.
 	watchWait = 25 * time.Second
-	// pauseParts divides the time in which a change must be in force: a part of it gathers changes into one call.
+	// batchDelayDivisor is the fraction of the time in which a change must take effect that is spent
+	// on batching changes into one call.
 	batchDelayDivisor = 4
-	// firstRetry and lastRetry bound the pause after a failed call; it doubles.
+	// initialRetryDelay and maxRetryDelay bound the delay after a failed call; it doubles.
 	initialRetryDelay = 50 * time.Millisecond
 	maxRetryDelay     = 400 * time.Millisecond
-	// idleRetry is the longest pause of an instance whose turn to follow the store it is not.
+	// maxIdleRetryDelay replaces maxRetryDelay for an instance that isn't a preferred follower.
 	maxIdleRetryDelay = 1600 * time.Millisecond
-	// missedWait is how long a look for missed changes waits: they are there already.
+	// missedWatchWait is how long a watch for missed changes waits: they are in the store already.
 	missedWatchWait = 20 * time.Millisecond
-	// firstStartWait is how long an instance waits to read the store when the whole fleet starts
-	// for the first time: all have registered by then, and one read tells of all.
+	// firstStartWait delays the first read of the store when the whole fleet starts for the first
+	// time: by then all instances have registered, and one read returns them all.
 	firstStartWait = 1200 * time.Millisecond
-	// leaseTTL is how long after its last renewal an instance is taken off the list. That it is
-	// silent shows sooner.
+	// leaseTTL is how long after its last renewal an instance's registration expires. Missing
+	// heartbeats show sooner that it is gone.
 	leaseTTL = 30 * time.Second
-	// leaseRenewal leaves another try before a lease ends. Each renewal is a call.
+	// leaseRenewal is the renewal interval. It leaves time for a second attempt before the lease
+	// expires; a shorter one would cost the store more calls.
 	leaseRenewal = 12 * time.Second
 )
 
-// everything is the prefix of all keys: one watch carries all that an instance follows.
+// allKeys is the prefix of all keys: one watch covers everything that an instance follows.
 const allKeys = ""
 
-// follower keeps the control loop in step with the platform's store.
+// follower keeps the control loop up to date with the platform's store.
 type follower struct {
 	store      *platform.Store
 	control    *control
 	log        *slog.Logger
 	health     *storeHealth
-	batchDelay func() time.Duration // After each change, before the next watch.
-	wait       time.Duration        // Before the first read.
+	batchDelay func() time.Duration // Delay after a change, before the next watch.
+	wait       time.Duration        // Delay before the first read.
 }
 
-// reach tells whether the store answers, by the calls of the follower and the registrar.
+// storeHealth tracks whether the store answers the calls of the follower and the registrar.
 type storeHealth struct {
 	log     *slog.Logger
 	control *control
 
 	mu           sync.Mutex
-	failingSince time.Time // Zero while the store answers.
+	failingSince time.Time // Time of the first failed call; zero while the store answers.
 }
 
-// report takes in how a call ended, and tells whether the store is back with it.
+// record records the outcome of a call. recovered reports whether it is the first success after
+// failures.
 func (r *storeHealth) record(err error) (recovered bool) {
 	if err != nil {
 		r.control.post(func() { r.control.lastStoreError = time.Now() })
@@ -68,21 +72,21 @@
 	switch {
 	case err != nil && r.failingSince.IsZero():
 		r.failingSince = time.Now()
-		r.log.Warn("store lost", "error", err.Error())
+		r.log.Warn("store unavailable; serving with the last known state", "error", err.Error())
 	case err == nil && !r.failingSince.IsZero():
-		r.log.Info("store regained", "after_ms", time.Since(r.failingSince).Milliseconds())
+		r.log.Info("store available again", "after_ms", time.Since(r.failingSince).Milliseconds())
 		r.failingSince = time.Time{}
 		return true
 	}
 	return false
 }
 
-// run keeps the control loop in step until ctx ends.
+// run keeps the control loop up to date until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	delayAfterError := initialRetryDelay
 	var at platform.Revision
 	sleep(ctx, f.wait)
-	synced, answered := false, false // proven: the store has answered since the duty fell to this instance.
+	synced, answered := false, false // answered: the store has answered since this instance began to follow it.
 	for ctx.Err() == nil {
 		at = max(at, platform.Revision(f.control.knownRevision.Load()))
 		var err error
@@ -98,13 +102,13 @@
 		default:
 			at, err = f.awaitChanges(ctx, at)
 		}
-		// A watch that was cut may have missed changes, whatever it says of its history.
+		// A watch that was cut off may have missed changes, even if the store's history has no gap.
 		synced, answered = err == nil || errors.Is(err, errFollowChanged), err == nil
 		switch {
 		case errors.Is(err, errFollowChanged), errors.Is(err, errResync):
 			continue
 		case errors.Is(err, platform.ErrCompacted):
-			f.log.Warn("history of the store lost", "after", uint64(at))
+			f.log.Warn("store has compacted its history after this revision; rereading all keys", "after", uint64(at))
 			continue
 		}
 		f.control.post(func() { f.control.setFollowing(err == nil) })
@@ -118,7 +122,8 @@
 	}
 }
 
-// longestRetry returns the longest pause after a failed call.
+// retryDelayLimit returns the longest delay after a failed call. Instances that aren't preferred
+// followers retry less often, to spare a store that rejects all calls.
 func (f *follower) retryDelayLimit() time.Duration {
 	if f.control.preferredFollower.Load() {
 		return maxRetryDelay
@@ -126,7 +131,7 @@
 	return maxIdleRetryDelay
 }
 
-// readAll reads every key and hands it to the control loop.
+// readAll reads all keys and posts them to the control loop.
 func (f *follower) readAll(ctx context.Context) (platform.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -143,11 +148,11 @@
 }
 
 var (
-	errResync        = errors.New("the watch is begun anew")
-	errFollowChanged = errors.New("another instance follows the store, or none does")
+	errResync        = errors.New("a resync of the store was requested")
+	errFollowChanged = errors.New("role as a follower of the store changed")
 )
 
-// watch waits for changes after a revision, hands them to the control loop and passes them on.
+// watch waits for changes after a revision and delivers them.
 func (f *follower) watch(ctx context.Context, after platform.Revision) (platform.Revision, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -176,7 +181,8 @@
 	return max(after, at), nil
 }
 
-// handOver hands changes to the control loop, which passes them on where that is its duty.
+// deliver posts changes to the control loop, which forwards them to the zone if this instance is
+// to follow the store.
 func (f *follower) deliver(items []platform.Item, after, at platform.Revision) {
 	f.control.post(func() {
 		if f.control.shouldFollow.Load() {
@@ -186,7 +192,8 @@
 	})
 }
 
-// listen waits while others tell of the store's changes, until it lacks some; those it reads.
+// awaitChanges waits while followers forward the store's changes to this instance. When some are
+// missing, it reads them from the store.
 func (f *follower) awaitChanges(ctx context.Context, after platform.Revision) (platform.Revision, error) {
 	select {
 	case <-ctx.Done():
@@ -201,7 +208,7 @@
 	return f.readMissed(ctx, max(after, platform.Revision(f.control.knownRevision.Load())))
 }
 
-// readMissed reads the changes after a revision that are there already.
+// readMissed reads the changes after a revision that are in the store already.
 func (f *follower) readMissed(ctx context.Context, after platform.Revision) (platform.Revision, error) {
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -230,10 +237,10 @@
 	record       memberRecord
 	log          *slog.Logger
 	health       *storeHealth
-	deregistered chan struct{} // Told when the registration went.
+	deregistered chan struct{} // Signaled when the registration was removed.
 }
 
-// run registers the instance and renews its lease until ctx ends, and then ends it.
+// run registers the instance and renews its lease until ctx ends. Then it ends the lease.
 func (r *registrar) run(ctx context.Context) {
 	var lease platform.Lease
 	for ctx.Err() == nil {
@@ -248,13 +255,13 @@
 		case ctx.Err() != nil:
 			continue
 		case errors.Is(err, platform.ErrLeaseEnded):
-			r.log.Warn("lease of the registration ended", "lease", uint64(lease))
+			r.log.Warn("registration lease expired; registering again", "lease", uint64(lease))
 			lease, wait = 0, 0
 		case err != nil:
 			wait = maxRetryDelay
 			r.health.record(err)
 		case r.health.record(nil):
-			// A watch that was begun while the store was silent may wait in vain.
+			// A watch that was started while the store didn't respond may wait forever.
 			r.health.control.requestResync(true)
 		}
 		r.wait(ctx, wait, &lease)
@@ -265,11 +272,12 @@
 	end, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
 	defer cancel()
 	if err := r.store.EndLease(end, lease); err != nil {
-		r.log.Warn("registration not withdrawn; it ends with its lease", "error", err.Error())
+		r.log.Warn("cannot end the registration lease; the registration expires with it", "error", err.Error())
 	}
 }
 
-// wait waits for d; a registration that went is made anew at once.
+// wait waits for d, or until the registration is removed: it then resets the lease, so that run
+// registers again at once.
 func (r *registrar) wait(ctx context.Context, d time.Duration, lease *platform.Lease) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/gateway/fragment.go
+++ b/internal/gateway/fragment.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// pieceBytes of a feed go into one datagram, beside the piece's own fields.
+	// fragmentBytes is the part of a batch in one datagram; 64 bytes are left for the fragment's own
+	// fields.
 	fragmentBytes = maxDatagramBytes - 64
-	// piecesMost bounds a feed that is sent in pieces, so that a change of the store does not
-	// fill the zone's links. A larger one is read from the store by each.
+	// maxFragments bounds a batch that is sent in fragments, so that one change of the store doesn't
+	// saturate the zone's links. Each instance reads a larger one from the store.
 	maxFragments = 24
 )
 
-// piece is a part of a feed that fits no datagram: one change of the store, mostly a
-// configuration. Without pieces each instance reads it itself, and calls of the store grow
-// with instances times configurations.
+// fragment is a part of a batch that doesn't fit a datagram: a single change of the store, mostly a
+// configuration. Without fragments each instance would read it from the store, whose calls would
+// grow with the number of instances times the number of configurations.
 type fragment struct {
 	_     struct{} `cbor:",toarray"`
 	From  dispatch.PeerID
-	At    platform.Revision // Of the feed; it names the feed.
+	At    platform.Revision // At of the batch; with From it identifies the batch.
 	Index int
 	Count int
 	Data  []byte
 }
 
-// cutPieces cuts an encoded feed into datagrams; none where it is too large.
+// fragmentBatch splits an encoded batch into datagrams. It returns none if the batch is too large.
 func fragmentBatch(b changeBatch, data []byte) ([][]byte, error) {
 	count := (len(data) + fragmentBytes - 1) / fragmentBytes
 	if count > maxFragments {
@@ -43,12 +44,12 @@
 	return datagrams, nil
 }
 
-// valid tells whether a piece can be one of a feed.
+// valid reports whether the fragment's index and count are possible.
 func (frag *fragment) valid() bool {
 	return frag.Count >= 1 && frag.Count <= maxFragments && frag.Index >= 0 && frag.Index < frag.Count
 }
 
-// joiner puts feeds together from their pieces, one feed of each sender at a time: the newest.
+// reassembler joins fragments to batches: of each sender only its newest batch.
 type reassembler struct {
 	partial map[dispatch.PeerID]*partialBatch
 }
@@ -59,10 +60,10 @@
 	missing int
 }
 
-// sendersMost bounds the feeds that are put together at a time: those of a zone's followers.
+// maxSenders bounds the batches that are reassembled at a time. Only a zone's followers send any.
 const maxSenders = 8
 
-// add takes in a piece and returns the encoded feed once it is whole.
+// add adds a fragment and returns the encoded batch once it is complete, else nil.
 func (r *reassembler) add(frag fragment) []byte {
 	if !frag.valid() {
 		return nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,8 +20,8 @@
 
 // Gateway is one running instance.
 type Gateway struct {
-	path             string    // Of the settings file.
-	settingsModified time.Time // When the settings file was changed last, as of its last reading.
+	path             string    // Path of the settings file.
+	settingsModified time.Time // Modification time of the settings file when it was last read.
 	settings         atomic.Pointer[Settings]
 	logs             *logWriter
 	log              *slog.Logger
@@ -38,9 +38,9 @@
 	started          time.Time
 }
 
-// New reads the settings and opens the listeners. Logs are written to out.
+// New reads the settings file at path and opens the listeners. Logs are written to out.
 func New(path string, out io.Writer) (*Gateway, error) {
-	settingsModified := modified(path) // Before the file is read: a change meanwhile is seen later.
+	settingsModified := modified(path) // Taken before the read, so that a change during it triggers a reload.
 	s, err := LoadSettings(path)
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	g.forwarder.Bound(g.server.InFlight)
 	peers, err := netip.ParseAddrPort(s.Listen.Peers)
 	if err != nil {
-		return fmt.Errorf("address for peers %q: %w", s.Listen.Peers, err)
+		return fmt.Errorf("parse the address for peers %q: %w", s.Listen.Peers, err)
 	}
 	g.record = memberRecord{Peer: g.control.peer, Zone: s.Instance.Zone, CallerAddr: s.Listen.Callers, PeerAddr: peers, LinkMbps: s.Instance.LinkMbps}
 	g.control.self = g.record
@@ -118,15 +118,16 @@
 	return g.settings.Load()
 }
 
-// ready tells whether callers may come here.
+// ready reports whether callers may connect: a configuration is in force, and no planned stop has begun.
 func (g *Gateway) ready() bool {
 	return g.control.snapshot.Load().router != nil && !g.leaving.Load()
 }
 
-// Run serves until ctx ends, and then makes a planned stop. reload asks for the settings file to be read again.
+// Run serves until ctx ends or a listener fails. When ctx ends it makes a planned stop. A value
+// from reload makes it reread the settings file.
 func (g *Gateway) Run(ctx context.Context, reload <-chan os.Signal) error {
 	s := g.current()
-	g.log.Info("start", "callers", s.Listen.Callers, "zone", s.Instance.Zone, "store", s.Store.Address, "life", uint64(g.control.peer))
+	g.log.Info("instance started", "callers", s.Listen.Callers, "zone", s.Instance.Zone, "store", s.Store.Address, "life", uint64(g.control.peer))
 	lifetime, endLifetime := context.WithCancel(context.WithoutCancel(ctx))
 	registered, deregister := context.WithCancel(lifetime)
 	failed := make(chan error, 1)
@@ -164,7 +165,7 @@
 		deregister()
 	}
 	endLifetime()
-	g.log.Info("stop", "error", errorText(err))
+	g.log.Info("instance stopped", "error", errorText(err))
 	g.close()
 	_ = g.server.Shutdown(lifetime)
 	tasks.Wait()
@@ -187,7 +188,7 @@
 	return err.Error()
 }
 
-// hear takes in a datagram.
+// handleDatagram processes a datagram by its kind, the first byte.
 func (g *Gateway) handleDatagram(data []byte) {
 	if len(data) == 0 {
 		return
@@ -212,21 +213,22 @@
 	}
 }
 
-// hearKind has the control loop take in a datagram of one message.
+// decodeAndPost decodes a datagram that holds one message and posts it to the control loop.
 func decodeAndPost[T any](g *Gateway, data []byte, handle func(now time.Time, m T)) {
 	m, err := decodeKind[T](data[1:])
 	if err != nil {
-		g.log.Warn("datagram ignored", "error", err.Error())
+		g.log.Warn("ignoring a datagram that cannot be decoded", "error", err.Error())
 		return
 	}
 	g.control.post(func() { handle(time.Now(), m) })
 }
 
-// hearMessages takes in what instances of a small fleet tell all others.
+// handleMessages processes a datagram of messages to all instances, and forwards it within the
+// zone if this instance is to relay it.
 func (g *Gateway) handleMessages(data []byte) {
 	list, err := decodeMessages(data)
 	if err != nil {
-		g.log.Warn("datagram ignored", "error", err.Error())
+		g.log.Warn("ignoring a datagram that cannot be decoded", "error", err.Error())
 		return
 	}
 	if data[0] != datagramMessages {
@@ -240,12 +242,12 @@
 	})
 }
 
-// hearPiece takes in a piece of changes of the store. The goroutine that receives datagrams
-// puts them together.
+// handleFragment adds a fragment of a change batch. Fragments are reassembled on the goroutine
+// that receives datagrams, which keeps this work off the control loop.
 func (g *Gateway) handleFragment(data []byte) {
 	frag, err := decodeKind[fragment](data[1:])
 	if err != nil {
-		g.log.Warn("datagram ignored", "error", err.Error())
+		g.log.Warn("ignoring a datagram that cannot be decoded", "error", err.Error())
 		return
 	}
 	if encoded := g.reassembler.add(frag); encoded != nil {
@@ -253,13 +255,14 @@
 	}
 }
 
-// watchPause returns how long changes of the store are gathered.
+// batchDelay returns how long changes of the store are batched: a part of the time in which they
+// must take effect.
 func (g *Gateway) batchDelay() time.Duration {
 	p := g.current().Promises
 	return min(p.ApplyWithin, p.DrainWithin) / batchDelayDivisor
 }
 
-// sweepInterval is how often idle connections to upstreams are looked at.
+// sweepInterval is how often idle connections to upstreams are checked.
 const sweepInterval = 2 * time.Second
 
 func (g *Gateway) sweep(ctx context.Context) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -426,14 +426,16 @@
 			w.startUpstream("i-1", "orders")
 			eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == 200 })
 			w.store.SetFault(fault)
-			eventually(t, "the loss is in the log", func() bool { return strings.Contains(in.logs.String(), `"msg":"store lost"`) })
+			eventually(t, "the loss is in the log", func() bool {
+				return strings.Contains(in.logs.String(), `"msg":"store unavailable; serving with the last known state"`)
+			})
 			// The registration lapses with the store and comes back after its return.
 			w.store.Delete("servers/i-1")
 			if status, _, _ := in.send(t, "h.example", "/x"); status != 200 {
 				t.Errorf("while the store is away: status %d", status)
 			}
 			w.store.SetFault(standin.NoFault)
-			eventually(t, "the return is in the log", func() bool { return strings.Contains(in.logs.String(), `"msg":"store regained"`) })
+			eventually(t, "the return is in the log", func() bool { return strings.Contains(in.logs.String(), `"msg":"store available again"`) })
 			if status, _, _ := in.send(t, "h.example", "/x"); status != 200 {
 				t.Errorf("just after the store's return: status %d", status)
 			}
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -13,11 +13,11 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// startingRetryAfter is when a caller may come back to an instance that has no configuration yet.
+// startingRetryAfter is the Retry-After of an instance that has no configuration yet, or was paused.
 const startingRetryAfter = 200 * time.Millisecond
 
-// unknownRetryAfter is when a caller may come back to a route that is not understood: only a
-// change of the configuration helps.
+// unsupportedRouteRetryAfter is the Retry-After for a route that this version doesn't support. It is
+// long, as only a change of the configuration helps.
 const unsupportedRouteRetryAfter = 2 * time.Second
 
 // handler serves callers' requests.
@@ -38,7 +38,7 @@
 func (h *handler) Refuse(code result.Code, detail string, resp *fasthttp.Response) {
 	forward.Refuse(resp, "", code, detail, 0)
 	h.metrics.recordAnswer(code, 0)
-	h.log.Warn("request not read", "code", code, "detail", detail)
+	h.log.Warn("cannot read a request; it is refused", "code", code, "detail", detail)
 }
 
 // Serve implements callers.Handler.
@@ -82,7 +82,8 @@
 	h.log.Info("request", "request", id, "code", code, "detail", detail, "host", string(r.HTTP.Header.Host()), "uri", string(r.HTTP.Header.RequestURI()))
 }
 
-// logRequest writes one line for a request.
+// logRequest logs a request that the settings ask for: all, or those that an upstream didn't answer
+// without a server error at the first attempt.
 func (h *handler) logRequest(ctx context.Context, r *forward.Request, s *Snapshot, report forward.Report) {
 	unremarkable := report.Code == result.CodeAnswered && report.Status < fasthttp.StatusInternalServerError && len(report.Attempts) == 1
 	if unremarkable && !h.logAll() {
--- a/internal/gateway/history.go
+++ b/internal/gateway/history.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// historyKept is how long a follower of the store keeps what it has told, for those that
-	// missed it. Without that each lost datagram costs a call of the store.
+	// historyTTL is how long batches are kept for instances that missed them. Without that, each
+	// lost datagram costs a call of the store.
 	historyTTL = 5 * time.Second
-	// historyMost bounds it.
+	// maxHistory bounds the batches that are kept.
 	maxHistory = 128
 )
 
-// history is what an instance has told its zone of the store lately, or was told: a follower
-// goes on from what another was faster to tell, and must not leave a gap there.
+// history holds the batches that an instance has lately sent or received. A follower's watch
+// continues after batches that it received from a faster follower, so without those its history
+// would have a gap.
 type history struct {
 	batches []changeBatch
 	times   []time.Time
 }
 
-// add keeps a feed.
+// add appends a batch and drops those that are too old or too many.
 func (h *history) add(now time.Time, b changeBatch) {
 	h.batches, h.times = append(h.batches, b), append(h.times, now)
 	old := 0
@@ -33,7 +34,8 @@
 	h.batches, h.times = h.batches[old:], h.times[old:]
 }
 
-// after returns the feeds that lead on from a revision; none where there is a gap.
+// after returns the batches that continue from a revision, or none if the first of them starts
+// after a gap.
 func (h *history) after(revision platform.Revision) []changeBatch {
 	for k, b := range h.batches {
 		if b.At > revision {
@@ -46,15 +48,15 @@
 	return nil
 }
 
-// missed asks a follower of the store for what this instance was not told.
+// resendRequest requests from a follower of the store the batches after a revision.
 type resendRequest struct {
 	_     struct{} `cbor:",toarray"`
 	From  dispatch.PeerID
 	After platform.Revision
 }
 
-// askMissed asks a follower of this zone for what it has told since this instance's revision,
-// and returns false where there is none to ask.
+// requestResend requests the batches after this instance's revision from a random follower of this
+// zone. It returns false if there is no follower.
 func (c *control) requestResend() bool {
 	var followers []dispatch.PeerID
 	for _, e := range c.members.byKey {
@@ -69,7 +71,7 @@
 	return true
 }
 
-// hearMissed tells an instance again what it has missed.
+// handleResendRequest sends an instance the batches that it missed.
 func (c *control) handleResendRequest(_ time.Time, m resendRequest) {
 	e := c.members.byPeer[m.From]
 	if e == nil {
--- a/internal/gateway/logwriter.go
+++ b/internal/gateway/logwriter.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// logBufferBytes bounds the lines that wait to be written.
+	// logBufferBytes bounds the lines that are not written yet.
 	logBufferBytes = 256 << 10
-	// logFlushInterval is how long a line waits to be written with others.
+	// logFlushInterval is how long lines are collected before they are written together.
 	logFlushInterval = 100 * time.Millisecond
 )
 
@@ -32,7 +32,7 @@
 	return w
 }
 
-// Write takes one line.
+// Write queues one line.
 func (w *logWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,13 +59,13 @@
 		lines := w.pending
 		w.pending = spare[:0]
 		w.mu.Unlock()
-		// A log that cannot be written has nowhere to say so.
+		// There is nowhere to report that the log can't be written.
 		_, _ = w.out.Write(lines)
 		spare = lines
 	}
 }
 
-// Close writes what waits and ends the writer.
+// Close writes the queued lines and stops the writer.
 func (w *logWriter) Close() error {
 	w.mu.Lock()
 	if w.closed {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -17,44 +17,44 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// memberPrefix is where instances register in the platform's store.
+// memberPrefix is the prefix of the instances' registrations in the platform's store.
 const memberPrefix = "instances/"
 
-// memberRecord is what an instance registers.
+// memberRecord is an instance's registration.
 type memberRecord struct {
-	Peer       dispatch.PeerID `cbor:"1,keyasint"` // New at each start.
+	Peer       dispatch.PeerID `cbor:"1,keyasint"` // Incarnation: drawn anew at each start.
 	Zone       string          `cbor:"2,keyasint"`
-	CallerAddr string          `cbor:"3,keyasint"`           // Where callers connect.
-	PeerAddr   netip.AddrPort  `cbor:"4,keyasint"`           // Where datagrams go.
-	LinkMbps   float64         `cbor:"5,keyasint,omitempty"` // Mbit/s; 0 where it is not known.
+	CallerAddr string          `cbor:"3,keyasint"`           // Callers connect to it.
+	PeerAddr   netip.AddrPort  `cbor:"4,keyasint"`           // Other instances send datagrams to it.
+	LinkMbps   float64         `cbor:"5,keyasint,omitempty"` // Bandwidth in Mbit/s; 0 if unknown.
 }
 
-// member is another instance.
+// member is another instance and what is known about it.
 type member struct {
 	memberRecord
 	key          string
 	joined       time.Time
-	lastSeen     time.Time // Zero before its first message.
+	lastSeen     time.Time // Time of its last message, or of a coordinator's report that it is alive; zero before the first.
 	leaving      bool
 	following    bool // It follows the store itself.
-	deregistered bool // Its key went while it was heard.
+	deregistered bool // Its key was removed although it still sends messages.
 }
 
-// members holds the other instances.
+// members holds the other instances. It is owned by the control loop.
 type members struct {
 	self         string // Key of this instance.
 	zone         string
 	log          *slog.Logger
 	quiet        bool                        // Registrations are not logged one by one.
-	byKey        map[string]*member          // By key.
-	byPeer       map[dispatch.PeerID]*member // The same by life.
-	coordinators map[string]bool             // Keepers, by key.
+	byKey        map[string]*member          // By store key.
+	byPeer       map[dispatch.PeerID]*member // By incarnation.
+	coordinators map[string]bool             // The zone's coordinators, by store key.
 }
 
 const (
-	// silenceTimeout is several times the interval of heartbeats.
+	// silenceTimeout is several heartbeat intervals.
 	silenceTimeout = 2 * time.Second
-	// localMin is the fewest instances of a zone that callers are given alone.
+	// minLocalAddresses is the number of instances from which callers get those of their zone only.
 	minLocalAddresses = 3
 )
 
@@ -62,14 +62,14 @@
 	return &members{self: memberPrefix + id, zone: zone, log: log, byKey: make(map[string]*member), byPeer: make(map[dispatch.PeerID]*member)}
 }
 
-// put takes in an instance's registration.
+// put adds or updates an instance by its registration.
 func (m *members) put(now time.Time, key string, value []byte) {
 	if key == m.self {
 		return
 	}
 	var r memberRecord
 	if err := cbor.Unmarshal(value, &r); err != nil {
-		m.log.Warn("registration of an instance ignored", "key", key, "error", fmt.Sprintf("decode %d bytes: %s", len(value), err))
+		m.log.Warn("ignoring an instance registration that cannot be decoded", "key", key, "error", fmt.Sprintf("decode %d bytes: %s", len(value), err))
 		return
 	}
 	if old := m.byKey[key]; old != nil && old.Peer == r.Peer {
@@ -85,9 +85,10 @@
 	m.log.Info("instance joined", "peer", strings.TrimPrefix(key, memberPrefix), "zone", r.Zone, "callers", r.CallerAddr)
 }
 
-// remove drops an instance whose registration went. It stays as long as it is heard and does
-// not leave: a registration lapses with the store, or is taken away from an instance that the
-// store refuses, and which depends on what its zone tells it.
+// remove handles the removal of an instance's registration. The instance is kept while it sends
+// messages and is not leaving: registrations also expire in an outage of the store, or when the
+// store rejects the instance's calls, and such an instance still needs the changes that its zone
+// forwards to it.
 func (m *members) remove(now time.Time, key string) {
 	e := m.byKey[key]
 	if e == nil {
@@ -104,7 +105,8 @@
 	m.log.Info("instance left", "peer", strings.TrimPrefix(key, memberPrefix))
 }
 
-// hear notes a message of an instance, and tells whether it follows the store since, or no more.
+// recordMessage records a message's sender as alive. changed reports whether the sender has begun
+// or ceased to follow the store.
 func (m *members) recordMessage(now time.Time, msg *message) (changed bool) {
 	e := m.byPeer[msg.From]
 	if e == nil {
@@ -116,7 +118,7 @@
 	return changed
 }
 
-// rank notes who keeps.
+// setCoordinators sets the zone's coordinators.
 func (m *members) setCoordinators(coordinators []broker.Instance) {
 	m.coordinators = make(map[string]bool, len(coordinators))
 	for _, i := range coordinators {
@@ -124,7 +126,8 @@
 	}
 }
 
-// order returns an instance's place among those that may follow the store: keepers go first.
+// followerKey returns the key that orders an instance among the candidates to follow the store:
+// coordinators come first.
 func (m *members) followerKey(key string) string {
 	if len(m.coordinators) > 0 && !m.coordinators[key] {
 		return "~" + key
@@ -132,8 +135,8 @@
 	return key
 }
 
-// follow notes which instances of this zone follow the store, as one of its keepers tells. The
-// keepers tell of themselves.
+// setFollowers records which instances of this zone follow the store, by a coordinator's report.
+// It skips the coordinators, which send their own reports.
 func (m *members) setFollowers(coordinator *member, followers []dispatch.PeerID) {
 	for _, e := range m.byKey {
 		if e != coordinator && e.Zone == m.zone && !m.coordinators[e.key] {
@@ -142,25 +145,26 @@
 	}
 }
 
-// there tells whether an instance was heard lately, or has joined too lately to be heard.
+// isAlive reports whether an instance has sent a message within silenceTimeout, or has joined too
+// recently to have sent one.
 func (e *member) isAlive(now time.Time) bool {
 	return now.Sub(e.joined) <= silenceTimeout || now.Sub(e.lastSeen) <= silenceTimeout
 }
 
-// silent tells whether an instance is to be told of as silent.
+// isSilent reports whether a coordinator's report lists the instance as silent.
 func (e *member) isSilent(now time.Time) bool {
 	fresh := now.Sub(e.joined) <= silenceTimeout
 	return e.leaving || !fresh && now.Sub(e.lastSeen) > followerTimeout
 }
 
-// hush takes an instance for silent at once.
+// markSilent makes an instance count as silent at once.
 func (e *member) markSilent(now time.Time) {
 	if silentSince := now.Add(-silenceTimeout - time.Millisecond); e.lastSeen.After(silentSince) {
 		e.lastSeen = silentSince
 	}
 }
 
-// drop forgets an instance.
+// drop removes an instance.
 func (m *members) drop(key string) {
 	if e := m.byKey[key]; e != nil {
 		delete(m.byPeer, e.Peer)
@@ -168,7 +172,7 @@
 	}
 }
 
-// zonePeers returns the other instances of this zone that are heard and stay.
+// zonePeers returns the other instances of this zone that are alive and not leaving.
 func (m *members) zonePeers(now time.Time) []following.Peer {
 	var peers []following.Peer
 	for key, e := range m.byKey {
@@ -179,18 +183,18 @@
 	return peers
 }
 
-// expire drops instances that lapsed and are silent.
+// expire removes instances that are deregistered and silent.
 func (m *members) expire(now time.Time) {
 	for key, e := range m.byKey {
 		if e.deregistered && !e.isAlive(now) {
 			m.drop(key)
-			m.log.Info("instance lapsed and silent", "peer", strings.TrimPrefix(key, memberPrefix))
+			m.log.Info("instance removed: deregistered and silent", "peer", strings.TrimPrefix(key, memberPrefix))
 		}
 	}
 }
 
-// isolated tells whether this instance hears less than half of the others, and so cannot
-// tell a silent one from its own trouble.
+// isolated reports whether fewer than half of the other instances have sent a message within
+// silenceTimeout. Then the fault may be this instance's own, and silence is no evidence against another.
 func (m *members) isolated(now time.Time) bool {
 	heard := 0
 	for _, e := range m.byKey {
@@ -201,7 +205,7 @@
 	return 2*heard < len(m.byKey)
 }
 
-// alive returns the instances to which callers and messages may go.
+// alive returns the instances to which callers and messages may be sent.
 func (m *members) alive(now time.Time) []*member {
 	isolated := m.isolated(now)
 	var out []*member
@@ -213,7 +217,8 @@
 	return out
 }
 
-// addresses returns where callers of a zone connect: instances of the zone, or all where it has few.
+// addresses returns the addresses for callers of a zone, in random order: of the zone's instances,
+// or of all if the zone has fewer than minLocalAddresses.
 func addresses(alive []*member, zone string) []string {
 	var local, all []string
 	for _, e := range alive {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -11,14 +11,14 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-// Bounds of the histogram of answer times, in milliseconds.
+// Range of the latency histogram, in milliseconds, and its significant digits.
 const (
 	histogramMin    = 1
 	histogramMax    = 60_000
 	histogramDigits = 2
 )
 
-// metrics counts answers. It is safe for concurrent use.
+// metrics counts answers by code, and measures their latency. It is safe for concurrent use.
 type metrics struct {
 	mu      sync.Mutex
 	byCode  map[result.Code]int64
@@ -33,14 +33,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.byCode[code]++
-	// Times over the bound are of requests that are counted by their code.
+	// Longer latencies count as the maximum; those requests also show by their codes.
 	_ = m.latency.RecordValue(min(max(took.Milliseconds(), histogramMin), histogramMax))
 }
 
-// quantiles are the quantiles of answer times that are shown.
+// quantiles are the reported percentiles of the latency.
 var quantiles = []float64{50, 90, 99, 99.9}
 
-// text returns the counts, one "name value" a line. gauges are appended.
+// text returns the metrics, one "name value" per line, followed by gauges.
 func (m *metrics) text(gauges map[string]int64) string {
 	var b strings.Builder
 	m.mu.Lock()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -15,34 +15,34 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// message is what one instance tells all others in a datagram.
+// message is a report and heartbeat of one instance to all others.
 type message struct {
 	_                  struct{} `cbor:",toarray"`
 	From               dispatch.PeerID
-	Revision           platform.Revision // Of the store, as far as the sender has followed it.
+	Revision           platform.Revision // Revision of the store that the sender has reached.
 	Leaving            bool
-	HasFullRetryWindow bool // The sender has counted repeats for a whole window.
+	HasFullRetryWindow bool // The sender has counted retries for a whole window of the retry budget.
 	Following          bool // The sender follows the store itself.
-	StoreFailing       bool // The store has failed the sender lately.
+	StoreFailing       bool // The sender follows the store, and a call failed lately.
 	Events             []dispatch.Event
 }
 
-// The first byte of a datagram tells what it holds, and whether the receiver passes it on.
+// Kinds of datagram, by the first byte. Only datagramRelay and datagramRelayNow are forwarded.
 const (
-	datagramMessages         byte = iota // Messages, one after the other.
-	datagramRelay                        // A message to be passed on to all instances of the receiver's zone.
-	datagramRelayNow                     // The same, at once.
-	datagramChanges                      // A feed; it is not passed on.
-	datagramFragment                     // A piece of a feed; it is not passed on.
-	datagramResendRequest                // A missed: asks for feeds again.
-	datagramLiveness                     // A roll.
-	datagramPlacementRequest             // A question.
-	datagramPlacementReply               // A reply.
-	datagramGrantEnd                     // An ending.
+	datagramMessages         byte = iota // One or more of message.
+	datagramRelay                        // A message, to be forwarded to all instances of the receiver's zone.
+	datagramRelayNow                     // The same, without waiting for other messages.
+	datagramChanges                      // A changeBatch.
+	datagramFragment                     // A fragment of a changeBatch.
+	datagramResendRequest                // A resendRequest.
+	datagramLiveness                     // A livenessReport.
+	datagramPlacementRequest             // A placementRequest.
+	datagramPlacementReply               // A placementReply.
+	datagramGrantEnd                     // A grantEnd.
 )
 
 const (
-	// maxDatagramBytes is under the smallest usual MTU.
+	// maxDatagramBytes is less than the smallest common MTU.
 	maxDatagramBytes = 1400
 	// maxEvents keeps a message within maxDatagramBytes: an event takes at most 14 bytes.
 	maxEvents = 90
@@ -83,7 +83,7 @@
 func listenPeers(addr string) (*peerSocket, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return nil, fmt.Errorf("address for peers %q: %w", addr, err)
+		return nil, fmt.Errorf("parse the address for peers %q: %w", addr, err)
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -92,7 +92,8 @@
 	return &peerSocket{conn: conn}, nil
 }
 
-// receive hands each datagram to take until the socket is closed. data is reused after take returns.
+// receive calls handle for each datagram until the socket is closed. data is reused after handle
+// returns.
 func (p *peerSocket) receive(handle func(data []byte)) {
 	buffer := make([]byte, maxDatagramBytes+1)
 	for {
@@ -106,14 +107,15 @@
 	}
 }
 
-// send sends a datagram to some instances. A loss is mended by later reports.
+// send sends a datagram to some instances. Errors are ignored: later reports cover a loss.
 func (p *peerSocket) send(data []byte, to []netip.AddrPort) {
 	for _, addr := range to {
 		_, _ = p.conn.WriteToUDPAddrPort(data, addr)
 	}
 }
 
-// spread sends a message to all instances: within this zone, and to a relay of each other zone.
+// broadcast sends a message to all instances: to those of this zone, directly or by a relay, and to
+// a relay of each other zone.
 func broadcast(data []byte, urgent bool, r *peerRoutes, send func(data []byte, to []netip.AddrPort), own *relay) {
 	data[0] = datagramRelay
 	if urgent {
@@ -137,17 +139,17 @@
 	return list[rand.IntN(len(list)):][:1]
 }
 
-// directMost is the most instances of a zone that are told of each event one by one; above,
-// what each has to receive grows with all others' requests.
+// maxDirectPeers is the number of other instances in a zone from which messages go by a relay.
+// Sent directly, the datagrams that each receives would grow with the requests of all others.
 const maxDirectPeers = 20
 
-// relaysOf returns the relays of a zone, its keepers: a relay sends what the whole fleet tells
-// to each of its zone.
+// relaysOf returns the relays of a zone, which forward the messages of the whole fleet to each
+// instance of their zone. They are chosen like coordinators, by the fastest links.
 func relaysOf(zone []*member) []netip.AddrPort {
 	list := make([]broker.Instance, 0, len(zone))
 	at := make(map[string]netip.AddrPort, len(zone))
 	for _, e := range zone {
-		key, _ := e.PeerAddr.MarshalBinary() // It never fails.
+		key, _ := e.PeerAddr.MarshalBinary() // It never returns an error.
 		list = append(list, broker.Instance{Incarnation: uint64(e.Peer), Key: string(key), LinkMbps: e.LinkMbps})
 		at[string(key)] = e.PeerAddr
 	}
@@ -158,11 +160,11 @@
 	return relays
 }
 
-// routes are the ways to the other instances. It is immutable.
+// peerRoutes holds the addresses by which messages reach the other instances. It is immutable.
 type peerRoutes struct {
-	zone         []netip.AddrPort            // In this zone.
-	relays       []netip.AddrPort            // Of this zone; none while it is small.
-	isRelay      bool                        // This instance is one of them.
+	zone         []netip.AddrPort            // Other instances of this zone.
+	relays       []netip.AddrPort            // Relays of this zone; none while it is small.
+	isRelay      bool                        // This instance is a relay of its zone.
 	remoteRelays map[string][]netip.AddrPort // Relays by other zone; none is empty.
 }
 
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -8,20 +8,20 @@
 	"github.com/damaskcove/damaskcove/coord/dispatch"
 )
 
-// askTimeout is how long a broker may take to answer: many times the way within a zone, and
-// as long as a small instance's processor may be away.
+// brokerTimeout is how long a broker may take to reply: many times the round trip within a zone,
+// and as long as a small instance's processor may be descheduled.
 const brokerTimeout = 60 * time.Millisecond
 
-// placing is this instance's part in requests that a broker places. It is owned by the
-// control loop.
+// placementClient is this instance's state as a requester of brokers. It is owned by the control
+// loop.
 type placementClient struct {
 	suspects  broker.Suspects
 	seq       uint64
-	pending   map[uint64]*pendingPlacement // Questions without an answer.
-	grantedBy map[uint64]broker.Instance   // Brokers by ticket, until the request has ended.
+	pending   map[uint64]*pendingPlacement // Placement requests without a reply, by sequence number.
+	grantedBy map[uint64]broker.Instance   // The granting broker by sequence number, until the request has ended.
 }
 
-// pending is a question that waits for its answer.
+// pendingPlacement is a placement request that waits for its reply.
 type pendingPlacement struct {
 	request dispatch.Request
 	to      broker.Instance
@@ -33,8 +33,7 @@
 	return placementClient{pending: make(map[uint64]*pendingPlacement), grantedBy: make(map[uint64]broker.Instance)}
 }
 
-// place has a request placed: by its service's broker, or by this instance itself where it
-// knows of none that answers.
+// place has a request placed by its service's broker, or places it locally if no broker answers.
 func (c *control) place(now time.Time, req dispatch.Request, result chan<- acquireResult) {
 	req.CrossZoneCost = c.machine.CrossZoneCost(req.SizeClass, req.LargeResponse)
 	to, ok := c.placement.suspects.Pick(now, broker.Rank(req.Service, c.coordinators))
@@ -53,13 +52,13 @@
 	c.sendPlacementRequest(now, to.Incarnation, msg)
 }
 
-// placeHere has this instance place a request by what it has seen itself.
+// placeLocally places a request by this instance's own observations.
 func (c *control) placeLocally(now time.Time, req dispatch.Request, result chan<- acquireResult) {
 	grant, rejection := c.machine.Acquire(now, req)
 	result <- acquireResult{grant: grant, rejection: rejection}
 }
 
-// ask takes a question to a broker.
+// sendPlacementRequest sends a placement request to a broker.
 func (c *control) sendPlacementRequest(now time.Time, to uint64, msg placementRequest) {
 	if dispatch.PeerID(to) == c.peer {
 		c.handlePlacementRequest(now, msg)
@@ -68,7 +67,7 @@
 	c.sendTo(dispatch.PeerID(to), datagramPlacementRequest, msg)
 }
 
-// sendTo sends a message to one instance. A loss is mended by timeouts.
+// sendTo sends a message to one instance. Timeouts cover a lost datagram.
 func (c *control) sendTo(to dispatch.PeerID, kind byte, m any) {
 	e := c.members.byPeer[to]
 	if e == nil {
@@ -76,13 +75,13 @@
 	}
 	data, err := encodeKind(kind, m)
 	if err != nil {
-		c.log.Error("message not sent", "error", err.Error())
+		c.log.Error("cannot encode a message to another instance; it is not sent", "error", err.Error())
 		return
 	}
 	c.socket.send(data, []netip.AddrPort{e.PeerAddr})
 }
 
-// unanswered goes on with a question whose broker is silent.
+// handleBrokerTimeout places a request locally whose broker hasn't replied in time.
 func (c *control) handleBrokerTimeout(now time.Time, seq uint64) {
 	p := c.placement.pending[seq]
 	if p == nil {
@@ -94,16 +93,16 @@
 	c.placeLocally(now, p.request, p.result)
 }
 
-// hearReply takes in a broker's answer.
+// handlePlacementReply processes a broker's reply.
 func (c *control) handlePlacementReply(now time.Time, r placementReply) {
 	if r.To != c.peer {
-		return // It answers a question of a former life.
+		return // It replies to a request of an earlier incarnation.
 	}
 	p := c.placement.pending[r.Seq]
 	from := broker.Instance{Incarnation: uint64(r.Broker)}
 	if p == nil {
 		if _, duplicate := c.placement.grantedBy[r.Seq]; r.Reason == 0 && !duplicate {
-			c.sendGrantEnd(now, from, r.Seq, dispatch.EndedUnknown, 0) // It came too late.
+			c.sendGrantEnd(now, from, r.Seq, dispatch.EndedUnknown, 0) // Too late: the request was placed locally.
 		}
 		return
 	}
@@ -128,7 +127,7 @@
 	}}
 }
 
-// tellEnding tells a broker what became of a grant.
+// sendGrantEnd reports to a broker how a granted request ended, or that it is overdue.
 func (c *control) sendGrantEnd(now time.Time, to broker.Instance, seq uint64, kind dispatch.EventKind, took time.Duration) {
 	e := grantEnd{From: c.peer, Seq: seq, Kind: kind, LatencyMillis: int(took.Milliseconds())}
 	if dispatch.PeerID(to.Incarnation) == c.peer {
@@ -138,7 +137,7 @@
 	c.sendTo(dispatch.PeerID(to.Incarnation), datagramGrantEnd, e)
 }
 
-// ended takes in the end of a granted request.
+// handleEnded records the end of a granted request.
 func (c *control) handleEnded(now time.Time, g dispatch.Grant, kind dispatch.EventKind, took time.Duration) {
 	if g.BrokerSeq == 0 {
 		c.machine.Ended(now, g.Endpoint.ID, kind, took)
@@ -149,7 +148,7 @@
 	delete(c.placement.grantedBy, g.BrokerSeq)
 }
 
-// unreachable takes in that a granted request could not be sent.
+// handleSendFailed records that a granted request could not be sent.
 func (c *control) handleSendFailed(now time.Time, g dispatch.Grant) {
 	if g.BrokerSeq == 0 {
 		c.machine.SendFailed(now, g.Endpoint.ID)
@@ -160,7 +159,7 @@
 	delete(c.placement.grantedBy, g.BrokerSeq)
 }
 
-// runsLong takes in that a granted request has no answer yet.
+// handleOverdue records that a granted request takes longer than expected.
 func (c *control) handleOverdue(now time.Time, g dispatch.Grant) {
 	if g.BrokerSeq == 0 {
 		c.machine.Overdue(now, g.Endpoint.ID)
--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -13,34 +13,36 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// registry holds the upstreams that have registered.
+// registry holds the registered upstreams. It is owned by the control loop.
 type registry struct {
 	log     *slog.Logger
 	quiet   bool              // Registrations are not logged one by one.
-	entries map[string]*entry // By key.
+	entries map[string]*entry // By store key.
 }
 
-// entry is one registration.
+// entry is an upstream's registration.
 type entry struct {
 	platform.Upstream
 	warmUpEnd    time.Time
-	missingSince time.Time // When the store was back without its key; zero while the key is there.
+	missingSince time.Time // When the store was available again without the key; zero while the key exists.
 }
 
-// lapseGrace is how long after the store's return a registration that went meanwhile may
-// take to come back: the upstreams' interval of registration and a little more. The platform
-// gives two seconds, and as many until an upstream that left may get no more work.
+// reregisterGrace is how long an upstream whose registration expired in an outage of the store may
+// take to register again: the upstreams' registration interval and a little more. The platform
+// allows two seconds, which is also the time after which an upstream that has left must get no
+// more requests.
 const reregisterGrace = 1600 * time.Millisecond
 
 func newRegistry(log *slog.Logger) *registry {
 	return &registry{log: log, entries: make(map[string]*entry)}
 }
 
-// put takes in a registration and tells whether anything changed that matters.
+// put adds or updates an upstream by its registration, and reports whether the endpoints changed. An
+// invalid registration removes the upstream.
 func (r *registry) put(now time.Time, key string, value []byte) bool {
 	u, err := platform.DecodeUpstream(key, value)
 	if err != nil {
-		r.log.Warn("registration ignored", "key", key, "error", err.Error())
+		r.log.Warn("invalid upstream registration; not using the upstream", "key", key, "error", err.Error())
 		return r.remove(key)
 	}
 	old := r.entries[key]
@@ -52,19 +54,19 @@
 	if r.quiet {
 		return true
 	}
-	r.log.Info("upstream", "upstream", u.ID, "service", u.Service, "address", u.Address, "zone", u.Zone, "slots", u.Slots,
+	r.log.Info("upstream registered or changed", "upstream", u.ID, "service", u.Service, "address", u.Address, "zone", u.Zone, "slots", u.Slots,
 		"leaving", u.State == platform.UpstreamDraining, "warm_up_ms", u.WarmUpLeft.Milliseconds())
 	return true
 }
 
-// sameUse tells whether two registrations are used alike.
+// equivalent reports whether two registrations differ in nothing that affects requests.
 func equivalent(a, b platform.Upstream) bool {
 	a.Sequence, b.Sequence = 0, 0
 	a.WarmUpLeft, b.WarmUpLeft = 0, 0
 	return a == b
 }
 
-// remove drops a registration.
+// remove removes an upstream, and reports whether there was one.
 func (r *registry) remove(key string) bool {
 	e := r.entries[key]
 	if e == nil {
@@ -72,12 +74,14 @@
 	}
 	delete(r.entries, key)
 	if !r.quiet {
-		r.log.Info("upstream gone", "upstream", e.ID, "service", e.Service)
+		r.log.Info("upstream removed", "upstream", e.ID, "service", e.Service)
 	}
 	return true
 }
 
-// lapse marks a registration that was missing when the store was back: it may come back too.
+// markMissing marks an upstream whose registration is missing since the store was available again.
+// It stays in use until expire, as it may register again; a draining one is removed at once. The
+// result reports whether the endpoints changed.
 func (r *registry) markMissing(back time.Time, key string) bool {
 	e := r.entries[key]
 	if e == nil {
@@ -88,12 +92,13 @@
 	}
 	if e.missingSince.IsZero() {
 		e.missingSince = back
-		r.log.Info("upstream's registration lapsed with the store", "upstream", e.ID, "service", e.Service)
+		r.log.Info("upstream registration missing after a store outage; keeping the upstream for a grace period", "upstream", e.ID, "service", e.Service)
 	}
 	return false
 }
 
-// expire drops registrations that lapsed and did not come back.
+// expire removes the upstreams that have not registered again in time, and reports whether there
+// were any.
 func (r *registry) expire(now time.Time) bool {
 	changed := false
 	for key, e := range r.entries {
@@ -104,7 +109,7 @@
 	return changed
 }
 
-// keys returns the keys of all registrations.
+// keys returns the store keys of all registrations.
 func (r *registry) keys() []string {
 	return slices.Collect(maps.Keys(r.entries))
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -6,28 +6,30 @@
 	"time"
 )
 
-// relayInterval is the least time between two datagrams of a relay to its zone: messages that
-// come faster are gathered. It is short against the time of a request.
+// relayInterval is the minimum time between two datagrams of a relay to its zone: messages that
+// arrive faster are batched. It is short compared with the duration of a request.
 const relayInterval = 10 * time.Millisecond
 
-// relay passes messages on to the instances of its zone: each at once while they are few, and
-// together while they are many, so that what an instance receives does not grow with the fleet.
+// relay forwards messages to the instances of its zone: at once while there are few, and in batches
+// while there are many, so that the number of datagrams that an instance receives doesn't grow with
+// the fleet. It is safe for concurrent use.
 type relay struct {
 	send      func(data []byte, to []netip.AddrPort)
-	targets   func() []netip.AddrPort
+	targets   func() []netip.AddrPort             // The other instances of the zone.
 	afterFunc func(after time.Duration, f func()) // Calls f later, on another goroutine.
 
 	mu             sync.Mutex
-	pending        []byte // A datagram that is being filled; empty while nothing waits.
+	pending        []byte // The datagram that is being filled; empty if no message is pending.
 	lastSent       time.Time
-	flushScheduled bool // due is called within relayInterval.
+	flushScheduled bool // flushDue will be called within relayInterval.
 }
 
 func newRelay(send func(data []byte, to []netip.AddrPort), to func() []netip.AddrPort) *relay {
 	return &relay{send: send, targets: to, afterFunc: func(after time.Duration, f func()) { time.AfterFunc(after, f) }}
 }
 
-// pass takes a message, without the first byte of its datagram. An urgent one does not wait.
+// forward queues a message, which is given without the first byte of its datagram. An urgent one is
+// sent at once, with those that are pending.
 func (r *relay) forward(message []byte, urgent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +57,7 @@
 	r.flush()
 }
 
-// flush sends what waits. The lock is held.
+// flush sends the pending messages. The caller holds mu.
 func (r *relay) flush() {
 	if len(r.pending) == 0 {
 		return
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// settingsInterval is how often the settings file is looked at: it may change without a signal.
+// settingsInterval is how often the settings file is checked: it may change without a signal.
 const settingsInterval = time.Second
 
-// watchSettings reads the settings file again when it changes or a signal asks for it.
+// watchSettings reloads the settings file when it changes or a signal arrives.
 func (g *Gateway) watchSettings(ctx context.Context, reload <-chan os.Signal) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
@@ -40,10 +40,10 @@
 func (g *Gateway) reload(signalled bool) {
 	next, err := LoadSettings(g.path)
 	if err != nil {
-		g.log.Error("settings not reloaded; the former ones stay", "error", err.Error())
+		g.log.Error("cannot reload the settings; keeping the current ones", "error", err.Error())
 		return
 	}
 	needRestart := g.current().restartNeeded(next)
 	g.settings.Store(next)
-	g.log.Info("reload", "signal", signalled, "need_restart", needRestart)
+	g.log.Info("settings reloaded", "signal", signalled, "need_restart", needRestart)
 }
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -29,7 +29,7 @@
 	return r
 }
 
-// find returns the route with the longest prefix that begins the path.
+// find returns the route of the host with the longest prefix of the path.
 func (r *router) find(host, uri string) (platform.Route, bool) {
 	path, _, _ := strings.Cut(uri, "?")
 	for _, route := range r.byHost[hostName(host)] {
@@ -40,7 +40,7 @@
 	return platform.Route{}, false
 }
 
-// hostName returns the name in a Host header, without its port.
+// hostName returns the name in a Host header in lower case, without its port.
 func hostName(host string) string {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -48,7 +48,7 @@
 	return strings.ToLower(host)
 }
 
-// pick draws a service by the parts' weights.
+// pick returns a random service, by the weights.
 func pick(parts []platform.WeightedService) string {
 	if len(parts) == 1 {
 		return parts[0].Service
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -10,7 +10,7 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// Settings are what a process reads from its settings file. Addresses are IP numbers and ports.
+// Settings holds the contents of the settings file. Addresses are IP addresses with ports.
 type Settings struct {
 	Instance InstanceSettings `toml:"instance"`
 	Listen   ListenSettings   `toml:"listen"`
@@ -21,63 +21,63 @@
 	Log      LogSettings      `toml:"log"`
 }
 
-// InstanceSettings tell which instance the process is.
+// InstanceSettings identify the instance.
 type InstanceSettings struct {
 	ID       string  `toml:"id"`
 	Zone     string  `toml:"zone"`
 	Region   string  `toml:"region"`
-	LinkMbps float64 `toml:"link_mbps"` // Of the machine's own link, in Mbit/s; 0 where it is not known.
+	LinkMbps float64 `toml:"link_mbps"` // Bandwidth of the machine's own link in Mbit/s; 0 if unknown.
 
 	FirstStart bool `toml:"first_start"` // The whole fleet starts for the first time.
 }
 
 // ListenSettings are the addresses that the process listens on.
 type ListenSettings struct {
-	Callers   string `toml:"callers"`   // Requests.
-	Ready     string `toml:"ready"`     // The platform's checks.
-	Discovery string `toml:"discovery"` // Callers that ask where to connect.
+	Callers   string `toml:"callers"`   // Callers' requests.
+	Ready     string `toml:"ready"`     // The platform's readiness checks.
+	Discovery string `toml:"discovery"` // Discovery requests of callers.
 	Peers     string `toml:"peers"`     // Datagrams of other instances.
-	Metrics   string `toml:"metrics"`   // Empty for none.
+	Metrics   string `toml:"metrics"`   // Metrics; empty for no such listener.
 }
 
-// StoreSettings tell where the platform's store is.
+// StoreSettings locate the platform's store.
 type StoreSettings struct {
 	Address string `toml:"address"`
 }
 
-// PromiseSettings are the times that the operator counts on.
+// PromiseSettings are the time limits that the operator relies on.
 type PromiseSettings struct {
-	ApplyWithin  time.Duration `toml:"apply_within"`  // From a change's acceptance to its effect.
-	DrainWithin  time.Duration `toml:"drain_within"`  // From an upstream's leaving to its last request.
+	ApplyWithin  time.Duration `toml:"apply_within"`  // From the acceptance of a configuration change to its effect.
+	DrainWithin  time.Duration `toml:"drain_within"`  // From an upstream's draining to its last new request.
 	StopWithin   time.Duration `toml:"stop_within"`   // From SIGTERM to the end of the process.
 	DiscoveryTTL time.Duration `toml:"discovery_ttl"` // How long callers may keep a discovery answer.
 }
 
-// RetrySettings bound repeats of one service by all instances.
+// RetrySettings bound the retries of one service by all instances together.
 type RetrySettings struct {
 	Window time.Duration `toml:"window"`
 	Ratio  float64       `toml:"ratio"` // Of the requests in a window.
-	Extra  float64       `toml:"extra"` // Besides, in a window; a part of a whole one counts as such.
+	Extra  float64       `toml:"extra"` // Additional retries per window; a fraction is allowed.
 }
 
-// PlaceSettings tell how requests are placed on upstreams.
+// PlaceSettings control how requests are placed on upstreams.
 type PlaceSettings struct {
-	FloorShare  float64 `toml:"floor_share"`  // Of a service's sound upstreams, to be in use while many requests go unserved.
-	BrokersFrom int     `toml:"brokers_from"` // Instances from which brokers place requests; a smaller fleet's tell each other everything.
+	FloorShare  float64 `toml:"floor_share"`  // Share of a service's healthy upstreams to keep in use while many requests go unserved.
+	BrokersFrom int     `toml:"brokers_from"` // Fleet size from which brokers place requests; the instances of a smaller fleet report to each other.
 }
 
-// LogSettings tell what is logged.
+// LogSettings control what is logged.
 type LogSettings struct {
-	Requests string `toml:"requests"` // "all", or "unserved" for those that were not answered by an upstream at the first try.
+	Requests string `toml:"requests"` // LogAll or LogUnserved.
 }
 
-// Words of LogSettings.Requests.
+// Values of LogSettings.Requests.
 const (
 	LogAll      = "all"
-	LogUnserved = "unserved"
+	LogUnserved = "unserved" // Requests that an upstream did not answer at the first attempt, or with a server error.
 )
 
-// DefaultSettings returns the settings for what a file leaves out.
+// DefaultSettings returns the values of settings that a file omits.
 func DefaultSettings() Settings {
 	return Settings{
 		Promises: PromiseSettings{ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second, StopWithin: 6 * time.Second, DiscoveryTTL: time.Second},
@@ -90,7 +90,8 @@
 // maxSettingsBytes bounds a settings file.
 const maxSettingsBytes = 64 << 10
 
-// LoadSettings reads a settings file. The error is a *tomlfile.Error that lists every fault.
+// LoadSettings reads and validates a settings file. The error is a *tomlfile.Error that lists every
+// invalid setting.
 func LoadSettings(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err == nil && len(data) > maxSettingsBytes {
@@ -102,7 +103,7 @@
 	return ParseSettings(path, data)
 }
 
-// ParseSettings reads settings from the bytes of a file that is named path.
+// ParseSettings decodes and validates the contents of a settings file; path is for its errors.
 func ParseSettings(path string, data []byte) (*Settings, error) {
 	c := &tomlfile.Collector{File: path}
 	s := DefaultSettings()
@@ -155,7 +156,7 @@
 
 func checkAddress(c *tomlfile.Collector, key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.Add(key, value, "must be an IP number and port")
+		c.Add(key, value, "must be an IP address and port")
 	}
 }
 
@@ -170,7 +171,7 @@
 	}
 }
 
-// restartNeeded returns the tables that cannot change while the process runs and differ.
+// restartNeeded returns the names of the changed tables that only take effect after a restart.
 func (s *Settings) restartNeeded(next *Settings) []string {
 	var tables []string
 	for name, pair := range map[string][2]any{
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// stopMargin is kept to the time in which the process must be gone.
+	// stopMargin is how long before the promised time a planned stop ends.
 	stopMargin = 400 * time.Millisecond
-	// staleTTLs is the number of discovery TTLs for which callers may use an answer.
+	// staleTTLs is the number of discovery TTLs for which callers may use a discovery answer.
 	staleTTLs = 3
-	// repeatLeaving is how often the others are told of the leaving, since datagrams get lost.
+	// leaveInterval and leaveRepeats control how often the other instances are notified of the stop,
+	// as datagrams get lost.
 	leaveInterval = 100 * time.Millisecond
 	leaveRepeats  = 3
 )
 
-// stop takes the instance out of discovery, serves the callers that still come, and
-// returns when all are answered.
+// stop makes the planned stop: it takes the instance out of discovery, serves the callers that
+// still connect, and returns when all requests are answered or the promised time is nearly over.
 func (g *Gateway) stop() error {
 	s := g.current()
 	began := time.Now()
 	deadline := began.Add(s.Promises.StopWithin - stopMargin)
 	g.leaving.Store(true)
-	g.log.Info("planned stop", "in_flight", g.server.InFlight())
+	g.log.Info("planned stop started; serving callers that still connect", "in_flight", g.server.InFlight())
 	g.server.Drain()
 	for range leaveRepeats {
 		g.control.post(func() { g.control.leaving = true; g.control.sendReports() })
