--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// largeFleet returns what the store holds of a fleet.
+// largeFleet returns the store's contents for a fleet.
 func largeFleet(b *testing.B, instances, upstreams int) []platform.Item {
 	b.Helper()
 	var items []platform.Item
@@ -35,7 +35,8 @@
 	return append(items, platform.Item{Key: platform.ConfigKey, Value: []byte(config), Revision: 1})
 }
 
-// BenchmarkFirstRead is the work of an instance of a large fleet until it is ready.
+// BenchmarkFirstRead measures the work of an instance of a large fleet from the store's response until
+// it is ready.
 func BenchmarkFirstRead(b *testing.B) {
 	items := largeFleet(b, 292, 1036)
 	reply, err := json.Marshal(map[string]any{"items": items, "at": 1})
--- a/internal/gateway/broker_test.go
+++ b/internal/gateway/broker_test.go
@@ -12,19 +12,20 @@
 	"github.com/damaskcove/damaskcove/coord/dispatch"
 )
 
-// startBrokered starts a fleet in which brokers place the requests.
-func startBrokered(t *testing.T, zones string) (*world, []*instance) {
+// startBrokeredFleet starts a fleet in which brokers place the requests: one instance for each letter
+// of zones, which names its zone.
+func startBrokeredFleet(t *testing.T, zones string) (*testFleet, []*instance) {
 	t.Helper()
-	w := newWorld(t)
-	w.brokersFrom = len(zones)
-	w.configure("h.example", "orders")
+	fleet := newTestFleet(t)
+	fleet.brokersFrom = len(zones)
+	fleet.configure("h.example", "orders")
 	var all []*instance
 	for k, zone := range zones {
 		id := fmt.Sprintf("edge-%c-%d", zone, k)
-		all = append(all, w.startInstance(id, string(zone)))
+		all = append(all, fleet.startInstance(id, string(zone)))
 	}
 	for _, in := range all {
-		eventually(t, "brokers are known", func() bool {
+		eventually(t, "every instance knows the others", func() bool {
 			known := make(chan bool, 1)
 			in.gateway.control.post(func() {
 				known <- in.gateway.control.brokered() && len(in.gateway.control.members.byKey) == len(zones)-1
@@ -32,7 +33,7 @@
 			return <-known
 		})
 	}
-	return w, all
+	return fleet, all
 }
 
 // inControl runs a function on an instance's control loop.
@@ -42,9 +43,9 @@
 	return <-got
 }
 
-func TestEveryInstanceAsksTheSameBroker(t *testing.T) {
-	w, all := startBrokered(t, "aaaa")
-	u := w.startUpstream("i-1", "orders")
+func TestServiceHasOneBroker(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaaa")
+	u := fleet.startUpstream("i-1", "orders")
 	for _, in := range all {
 		eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	}
@@ -61,7 +62,7 @@
 		t.Errorf("%d requests", served)
 	}
 	for _, in := range all {
-		eventually(t, "every grant is counted out", func() bool {
+		eventually(t, "all grants have ended", func() bool {
 			return inControl(in, func(c *control) bool {
 				return (c.broker == nil || c.broker.grants.Len() == 0) && len(c.placement.grantedBy) == 0 && len(c.placement.pending) == 0
 			})
@@ -69,28 +70,28 @@
 	}
 }
 
-// The load that it answers: hundreds of instances ask the broker that has just died.
-func TestRequestsGoOnWhenTheBrokerDies(t *testing.T) {
-	w, all := startBrokered(t, "aaaa")
-	w.startUpstream("i-1", "orders")
+// Guards against requests that fail or hang when their service's broker dies.
+func TestRequestsSucceedWhenBrokerDies(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaaa")
+	fleet.startUpstream("i-1", "orders")
 	for _, in := range all {
 		eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	}
-	var rest []*instance
+	var others []*instance
 	for _, in := range all {
 		if !inControl(in, func(c *control) bool { return c.broker != nil }) {
-			rest = append(rest, in)
+			others = append(others, in)
 			continue
 		}
-		held := make(chan struct{})
-		t.Cleanup(func() { close(held) })
-		in.gateway.control.post(func() { <-held }) // It hears and says nothing more.
+		release := make(chan struct{})
+		t.Cleanup(func() { close(release) })
+		in.gateway.control.post(func() { <-release }) // Blocks its control loop, so that it no longer responds.
 	}
-	if len(rest) != len(all)-1 {
-		t.Fatalf("%d brokers", len(all)-len(rest))
+	if len(others) != len(all)-1 {
+		t.Fatalf("%d brokers, want 1", len(all)-len(others))
 	}
 	for range 5 {
-		for _, in := range rest {
+		for _, in := range others {
 			if status, _, id := in.send(t, "h.example", "/x"); status != http.StatusOK {
 				t.Errorf("request %s: status %d", id, status)
 			}
@@ -98,10 +99,11 @@
 	}
 }
 
-// The load that it answers: the endpoints of a zone fail or leave, while other zones have room.
-func TestAZoneWithoutEndpointsIsServedByAnother(t *testing.T) {
-	w, all := startBrokered(t, "aaabbb")
-	u := w.startUpstream("i-1", "orders") // Of zone a.
+// Guards against rejecting the requests of a zone whose endpoints fail or drain while another zone
+// has capacity.
+func TestZoneWithoutEndpointsUsesAnotherZone(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaabbb")
+	u := fleet.startUpstream("i-1", "orders") // Of zone a.
 	for _, in := range all {
 		eventually(t, "served", func() bool {
 			status, body, _ := in.send(t, "h.example", "/x")
@@ -121,15 +123,15 @@
 		}
 	}
 	if now := timeouts(); now != before {
-		t.Errorf("%d questions without an answer", now-before)
+		t.Errorf("%d placement requests timed out", now-before)
 	}
 }
 
-// The load that it answers: a broker is asked while every endpoint is full or failing. Each
-// question gets an answer, and no request is sent twice where it must not be.
-func TestEveryQuestionIsAnswered(t *testing.T) {
-	w, all := startBrokered(t, "aaabbb")
-	good, bad := w.startUpstream("i-good", "orders"), w.startUpstream("i-bad", "orders")
+// Guards against requests that hang or run twice while every endpoint is full or failing: each
+// placement request gets a reply, and an unsafe request is sent at most once.
+func TestEveryPlacementRequestIsAnswered(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaabbb")
+	good, bad := fleet.startUpstream("i-good", "orders"), fleet.startUpstream("i-bad", "orders")
 	bad.failing.Store(true)
 	eventually(t, "served", func() bool { status, _, _ := all[0].send(t, "h.example", "/x"); return status == http.StatusOK })
 	before := good.requests.Load() + bad.requests.Load()
@@ -149,46 +151,47 @@
 	}
 	done.Wait()
 	if ran := good.requests.Load() + bad.requests.Load() - before; ran > int64(each*len(all)) {
-		t.Errorf("%d orders ran %d times", each*len(all), ran)
+		t.Errorf("%d requests ran %d times", each*len(all), ran)
 	}
 }
 
-// The load that it answers: a large zone, in which each instance would have to hear every other.
-func TestKeepersTellWhoIsThere(t *testing.T) {
-	_, all := startBrokered(t, "aaaaab")
+// Instances that aren't coordinators get no heartbeats from the others: they must learn from a
+// coordinator's report which instance is silent.
+func TestCoordinatorsReportSilentInstances(t *testing.T) {
+	_, all := startBrokeredFleet(t, "aaaaab")
 	last := all[4]
 	if inControl(last, func(c *control) bool { return c.isCoordinator() }) {
-		t.Fatal("more than three keep")
+		t.Fatal("more than three coordinators")
 	}
 	eventually(t, "all are alive", func() bool { return len(last.gateway.control.snapshot.Load().alive) == len(all)-1 })
-	gone := all[3]
-	held := make(chan struct{})
-	t.Cleanup(func() { close(held) })
-	gone.gateway.control.post(func() { <-held })
-	eventually(t, "the silent one is left out", func() bool {
+	stopped := all[3]
+	release := make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	stopped.gateway.control.post(func() { <-release })
+	eventually(t, "the silent instance is not alive", func() bool {
 		return !slices.ContainsFunc(last.gateway.control.snapshot.Load().alive, func(e *member) bool { return strings.HasSuffix(e.key, "edge-a-3") })
 	})
 	if got := len(last.gateway.control.snapshot.Load().alive); got != len(all)-2 {
-		t.Errorf("%d are alive", got)
+		t.Errorf("%d instances are alive", got)
 	}
 }
 
-// A reply may come twice, late, or to an instance that has restarted and counts its questions
-// anew; and it may name an endpoint of another service.
-func TestOnlyItsOwnReplyIsTaken(t *testing.T) {
-	w, all := startBrokered(t, "aaa")
-	w.startUpstream("i-1", "orders")
+// Guards against applying a reply to the wrong request: it may arrive twice, or after the requester has
+// restarted and its sequence numbers have restarted, or name an endpoint of another service.
+func TestForeignPlacementReplyIsIgnored(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaa")
+	fleet.startUpstream("i-1", "orders")
 	in := all[0]
 	eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	now := time.Now()
 	for name, tc := range map[string]struct {
 		service string
 		to      func(c *control) dispatch.PeerID
-		answers bool // The question gets an endpoint by this reply.
+		answers bool // The reply is applied, so the request gets its endpoint.
 	}{
-		"its own":         {"orders", func(c *control) dispatch.PeerID { return c.peer }, true},
-		"a former life's": {"orders", func(c *control) dispatch.PeerID { return c.peer + 1 }, false},
-		"another service": {"others", func(c *control) dispatch.PeerID { return c.peer }, false},
+		"its own":                  {"orders", func(c *control) dispatch.PeerID { return c.peer }, true},
+		"an earlier incarnation's": {"orders", func(c *control) dispatch.PeerID { return c.peer + 1 }, false},
+		"another service":          {"others", func(c *control) dispatch.PeerID { return c.peer }, false},
 	} {
 		result := make(chan acquireResult, 1)
 		granted := inControl(in, func(c *control) int {
@@ -198,9 +201,9 @@
 			r := placementReply{Broker: 99, To: tc.to(c), Seq: c.placement.seq, Endpoint: endpointID("i-1")}
 			c.handlePlacementReply(now, r)
 			before := len(c.placement.grantedBy)
-			c.handlePlacementReply(now, r) // Once more.
+			c.handlePlacementReply(now, r) // Duplicate.
 			if len(c.placement.grantedBy) != before {
-				t.Errorf("%s: the second reply counts", name)
+				t.Errorf("%s: the duplicate reply is applied", name)
 			}
 			delete(c.placement.grantedBy, c.placement.seq)
 			delete(c.placement.pending, c.placement.seq)
@@ -212,7 +215,7 @@
 	}
 }
 
-func TestQuestionsSurviveTheWire(t *testing.T) {
+func TestPlacementRequestRoundTrip(t *testing.T) {
 	now := time.Unix(1000, 0)
 	req := dispatch.Request{
 		Service: "orders", Idempotent: true, Hedge: true, Objective: now.Add(-time.Second), Deadline: now.Add(2 * time.Second),
--- a/internal/gateway/brokerwire.go
+++ b/internal/gateway/brokerwire.go
@@ -46,7 +46,7 @@
 type placementReply struct {
 	_               struct{} `cbor:",toarray"`
 	Broker          dispatch.PeerID
-	To              dispatch.PeerID // Incarnation of the requester: a restart begins the sequence numbers anew.
+	To              dispatch.PeerID // Incarnation of the requester: a restart also restarts the sequence numbers.
 	Seq             uint64
 	Reason          dispatch.Reason // 0 if there is an endpoint.
 	Endpoint        dispatch.EndpointID
--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -76,8 +76,8 @@
 // splitIndex returns the index nearest to the middle at which a batch can be split: never between
 // changes of one revision. It returns 0 if there is none.
 func (b changeBatch) splitIndex() int {
-	for away := range len(b.Items) {
-		for _, k := range []int{len(b.Items)/2 - away, len(b.Items)/2 + away} {
+	for offset := range len(b.Items) {
+		for _, k := range []int{len(b.Items)/2 - offset, len(b.Items)/2 + offset} {
 			if k > 0 && k < len(b.Items) && b.Items[k-1].Revision != b.Items[k].Revision {
 				return k
 			}
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -18,7 +18,7 @@
 	"github.com/damaskcove/damaskcove/platform/standin"
 )
 
-// storeLink is the way of one instance to the store. It can be refused.
+// storeLink is a TCP proxy between one instance and the store. It can be set to reject connections.
 type storeLink struct {
 	listener net.Listener
 	store    string
@@ -66,7 +66,7 @@
 	_, _ = io.Copy(c, up)
 }
 
-// refuse resets the instance's calls of the store from now on, or lets them through again.
+// refuse sets whether the link rejects the instance's connections; on also resets open ones.
 func (s *storeLink) refuse(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,22 +79,22 @@
 	}
 }
 
-// startLinked starts an instance of zone a with a way to the store of its own.
-func (w *world) startLinked(id string) (*instance, *storeLink) {
-	link := newStoreLink(w.t, w.store.Addr())
-	path := w.settingsFile(id, "a")
+// startWithStoreLink starts an instance of zone a with its own link to the store.
+func (fleet *testFleet) startWithStoreLink(id string) (*instance, *storeLink) {
+	link := newStoreLink(fleet.t, fleet.store.Addr())
+	path := fleet.settingsFile(id, "a")
 	text, err := os.ReadFile(path)
 	if err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
-	text = []byte(strings.Replace(string(text), w.store.Addr(), link.listener.Addr().String(), 1))
+	text = []byte(strings.Replace(string(text), fleet.store.Addr(), link.listener.Addr().String(), 1))
 	if err := os.WriteFile(path, text, 0o600); err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
-	return w.startWith(path, id), link
+	return fleet.startWith(path, id), link
 }
 
-// follows reports which of some instances follow the store.
+// followers reports for each instance whether it follows the store.
 func followers(instances []*instance) []bool {
 	var out []bool
 	for _, in := range instances {
@@ -105,7 +105,7 @@
 	return out
 }
 
-// knows reports whether an instance's endpoints include one.
+// hasEndpoint reports whether the instance may place requests on an endpoint.
 func (in *instance) hasEndpoint(id string) bool {
 	reply := make(chan bool, 1)
 	in.gateway.control.post(func() {
@@ -114,28 +114,29 @@
 	return <-reply
 }
 
-func startZone(t *testing.T, n int) (*world, []*instance, []*storeLink) {
+func startZone(t *testing.T, n int) (*testFleet, []*instance, []*storeLink) {
 	t.Helper()
-	return startZoneOf(t, n, DefaultSettings().Place.BrokersFrom)
+	return startZoneWithBrokers(t, n, DefaultSettings().Place.BrokersFrom)
 }
 
-// startZoneOf starts a zone in which brokers place requests from a number of instances on.
-func startZoneOf(t *testing.T, n, brokersFrom int) (*world, []*instance, []*storeLink) {
+// startZoneWithBrokers starts a zone of n instances with place.brokers_from set to brokersFrom. It
+// returns once two instances follow the store and all have the same revision.
+func startZoneWithBrokers(t *testing.T, n, brokersFrom int) (*testFleet, []*instance, []*storeLink) {
 	t.Helper()
-	w := newWorld(t)
-	w.brokersFrom = brokersFrom
-	w.configure("h.example", "orders")
+	fleet := newTestFleet(t)
+	fleet.brokersFrom = brokersFrom
+	fleet.configure("h.example", "orders")
 	var instances []*instance
 	var links []*storeLink
 	for i := range n {
-		in, link := w.startLinked(fmt.Sprintf("edge-%d", i))
+		in, link := fleet.startWithStoreLink(fmt.Sprintf("edge-%d", i))
 		instances, links = append(instances, in), append(links, link)
 	}
-	eventually(t, "two follow the store", func() bool {
+	eventually(t, "two instances follow the store", func() bool {
 		got := followers(instances)
 		return got[0] && got[1] && !slices.Contains(got[2:], true)
 	})
-	eventually(t, "all know the store equally far", func() bool {
+	eventually(t, "all have the same revision of the store", func() bool {
 		for _, in := range instances {
 			c := in.gateway.control
 			if c.knownRevision.Load() != instances[0].gateway.control.knownRevision.Load() || len(c.snapshot.Load().alive) != n-1 {
@@ -144,89 +145,90 @@
 		}
 		return true
 	})
-	return w, instances, links
+	return fleet, instances, links
 }
 
-// The load that it answers: upstreams register and leave all day, and each change wakes
-// every instance's watch.
-func TestChangesReachThoseThatDoNotFollowTheStoreWithoutACall(t *testing.T) {
-	w, instances, links := startZone(t, 4)
+// Guards against calls of the store that grow with instances times changes: each change would wake
+// every instance's watch. Instances that don't follow the store get changes from those that do.
+func TestFollowersForwardChangesToTheirZone(t *testing.T) {
+	fleet, instances, links := startZone(t, 4)
 	for _, link := range links[2:] {
 		link.refuse(true)
 	}
-	calls := w.store.Calls("range")
-	w.startUpstream("i-1", "orders")
+	calls := fleet.store.Calls("range")
+	fleet.startUpstream("i-1", "orders")
 	for _, in := range instances {
-		eventually(t, "the upstream is known", func() bool { return in.hasEndpoint("i-1") })
+		eventually(t, "the upstream is in use", func() bool { return in.hasEndpoint("i-1") })
 	}
-	w.store.Delete("servers/i-1")
+	fleet.store.Delete("servers/i-1")
 	for _, in := range instances {
-		eventually(t, "the upstream is gone", func() bool { return !in.hasEndpoint("i-1") })
+		eventually(t, "the upstream is no longer used", func() bool { return !in.hasEndpoint("i-1") })
 	}
-	if got := w.store.Calls("range"); got != calls {
-		t.Errorf("%d reads of everything", got-calls)
+	if got := fleet.store.Calls("range"); got != calls {
+		t.Errorf("%d full reads of the store, want none", got-calls)
 	}
 }
 
-// The load that it answers: the store refuses some instances, those that follow it among them.
-func TestTheNextInLineFollowsWhenTheStoreRefusesThoseBefore(t *testing.T) {
-	w, instances, links := startZone(t, 4)
+// Guards against a zone that gets no changes: the store rejects some instances, its followers among
+// them.
+func TestNextInstancesFollowWhenStoreRejectsFollowers(t *testing.T) {
+	fleet, instances, links := startZone(t, 4)
 	links[0].refuse(true)
 	links[1].refuse(true)
-	eventually(t, "the others follow", func() bool { return slices.Equal(followers(instances), []bool{false, false, true, true}) })
-	w.startUpstream("i-1", "orders")
-	w.configure("other.example", "orders")
+	eventually(t, "the other two follow the store", func() bool { return slices.Equal(followers(instances), []bool{false, false, true, true}) })
+	fleet.startUpstream("i-1", "orders")
+	fleet.configure("other.example", "orders")
 	for _, in := range instances {
-		eventually(t, "the upstream is known", func() bool { return in.hasEndpoint("i-1") })
+		eventually(t, "the upstream is in use", func() bool { return in.hasEndpoint("i-1") })
 	}
 	links[0].refuse(false)
 	links[1].refuse(false)
-	eventually(t, "the first follow again", func() bool { return slices.Equal(followers(instances), []bool{true, true, false, false}) })
+	eventually(t, "the first two follow the store again", func() bool { return slices.Equal(followers(instances), []bool{true, true, false, false}) })
 }
 
-// The load that it answers: the store refuses all keepers of a large zone. Two others follow it,
-// not one after the other until all do.
-func TestTwoFollowWhenTheStoreRefusesTheKeepers(t *testing.T) {
-	w, instances, links := startZoneOf(t, 9, 9)
+// Guards against every instance becoming a follower: the store rejects all coordinators of a large
+// zone. Exactly two others have to follow, instead of one after the other until all do.
+func TestTwoInstancesFollowWhenStoreRejectsCoordinators(t *testing.T) {
+	fleet, instances, links := startZoneWithBrokers(t, 9, 9)
 	for _, link := range links[:3] {
 		link.refuse(true)
 	}
 	want := []bool{false, false, false, true, true, false, false, false, false}
-	eventually(t, "two others follow", func() bool { return slices.Equal(followers(instances), want) })
-	w.startUpstream("i-1", "orders")
+	eventually(t, "two other instances follow the store", func() bool { return slices.Equal(followers(instances), want) })
+	fleet.startUpstream("i-1", "orders")
 	for _, in := range instances {
-		eventually(t, "the upstream is known", func() bool { return in.hasEndpoint("i-1") })
+		eventually(t, "the upstream is in use", func() bool { return in.hasEndpoint("i-1") })
 	}
-	time.Sleep(10 * failoverTime) // Whoever still waits for its turn would have followed by then.
+	time.Sleep(10 * failoverTime) // Long enough for further instances to become followers, if they did.
 	if got := followers(instances); !slices.Equal(got, want) {
-		t.Errorf("these follow: %v", got)
+		t.Errorf("followers %v", got)
 	}
 }
 
-// turnOfAll is the time in which one instance after the other begins to follow the store.
+// failoverTime is about how long another instance takes to begin to follow the store.
 const failoverTime = 200 * time.Millisecond
 
-// The load that it answers: the configuration changes all day, and fits no datagram. It goes
-// in pieces, also to those that the store refuses.
-func TestAConfigurationThatFitsNoDatagramIsToldInPieces(t *testing.T) {
-	w, instances, links := startZone(t, 4)
+// Guards against a configuration that doesn't reach instances that the store rejects, as it is too
+// large for a datagram: it is forwarded in fragments.
+func TestLargeConfigurationIsForwardedInFragments(t *testing.T) {
+	fleet, instances, links := startZone(t, 4)
 	for _, link := range links[2:] {
 		link.refuse(true)
 	}
 	for version := 7; version < 10; version++ {
-		w.configureVersion(version, strings.Repeat("long.", 400*(version-6))+"example", "orders")
+		fleet.configureVersion(version, strings.Repeat("long.", 400*(version-6))+"example", "orders")
 		for _, in := range instances {
 			eventually(t, "the version is in force", func() bool { return int(in.gateway.control.snapshot.Load().Version) == version })
 		}
 	}
 }
 
-// loses undoes what an instance was told from an upstream's registration on, as if the datagrams
-// had been lost; and the question for what it missed too.
-func (in *instance) dropChanges(w *world, key string, dropRequest bool) {
+// dropChanges undoes the changes that an instance received from an upstream's registration on, as
+// if the datagrams had been lost. dropRequest makes it also lose its request for a resend.
+func (in *instance) dropChanges(fleet *testFleet, key string, dropRequest bool) {
 	inControl(in, func(c *control) bool {
 		c.registry.remove(key)
-		c.revision = platform.Revision(w.store.RevisionOf(key)) - 1
+		c.revision = platform.Revision(fleet.store.RevisionOf(key)) - 1
 		if dropRequest {
 			c.resendRequested, c.behindSince = true, time.Now()
 		}
@@ -235,140 +237,141 @@
 	})
 }
 
-// The load that it answers: datagrams get lost all day, and each loss cost a call of the store.
-// What an instance has missed it is told again, also where the store refuses it.
-func TestWhatWasMissedIsToldAgain(t *testing.T) {
-	w, instances, links := startZone(t, 4)
+// Guards against a call of the store for each lost datagram: a follower resends missed changes, also
+// to an instance that the store rejects.
+func TestMissedChangesAreResent(t *testing.T) {
+	fleet, instances, links := startZone(t, 4)
 	last := instances[3]
 	links[3].refuse(true)
-	w.startUpstream("i-1", "orders")
-	eventually(t, "the upstream is known", func() bool { return last.hasEndpoint("i-1") })
-	last.dropChanges(w, "servers/i-1", false)
-	w.startUpstream("i-2", "orders")
+	fleet.startUpstream("i-1", "orders")
+	eventually(t, "the upstream is in use", func() bool { return last.hasEndpoint("i-1") })
+	last.dropChanges(fleet, "servers/i-1", false)
+	fleet.startUpstream("i-2", "orders")
 	for _, id := range []string{"i-1", "i-2"} {
-		eventually(t, "the upstream is known", func() bool { return last.hasEndpoint(id) })
+		eventually(t, "the upstream is in use", func() bool { return last.hasEndpoint(id) })
 	}
 }
 
-// The load that it answers: the store takes away the registrations of some instances and
-// refuses these, while the configuration changes. Their zone tells them all the same.
-func TestAnInstanceWhoseRegistrationWasTakenAwayIsStillTold(t *testing.T) {
-	for name, brokersFrom := range map[string]int{"all tell all": 100, "keepers tell": 4} {
+// Guards against instances that miss configuration changes after the store has removed their
+// registrations and rejects their calls: their zone still forwards the changes to them.
+func TestDeregisteredInstanceStillGetsChanges(t *testing.T) {
+	for name, brokersFrom := range map[string]int{"without coordinators": 100, "with coordinators": 4} {
 		t.Run(name, func(t *testing.T) {
-			w, instances, links := startZoneOf(t, 5, brokersFrom)
+			fleet, instances, links := startZoneWithBrokers(t, 5, brokersFrom)
 			last := instances[4]
 			links[4].refuse(true)
-			w.store.Delete("instances/edge-4")
+			fleet.store.Delete("instances/edge-4")
 			for _, in := range instances[:4] {
-				eventually(t, "the registration is gone", func() bool { return in.gateway.control.knownRevision.Load() >= w.store.Revision() })
+				eventually(t, "the registration is removed", func() bool { return in.gateway.control.knownRevision.Load() >= fleet.store.Revision() })
 			}
 			for version := 7; version < 10; version++ {
-				w.configureVersion(version, strings.Repeat("long.", 500)+"example", "orders")
+				fleet.configureVersion(version, strings.Repeat("long.", 500)+"example", "orders")
 				eventually(t, "the version is in force", func() bool { return int(last.gateway.control.snapshot.Load().Version) == version })
 			}
 			for _, in := range instances[:4] {
 				if got := len(in.gateway.control.snapshot.Load().alive); got != 4 {
-					t.Errorf("%d others are alive", got)
+					t.Errorf("%d other instances are alive, want 4", got)
 				}
 			}
 		})
 	}
 }
 
-// The question is a datagram that may get lost too, while the store refuses the instance.
-func TestWhatWasMissedIsAskedForUntilItIsTold(t *testing.T) {
-	w, instances, links := startZone(t, 4)
+// Guards against an instance that stays behind: its request for a resend is lost while the store
+// rejects its calls, so it has to request again.
+func TestMissedChangesAreRequestedUntilReceived(t *testing.T) {
+	fleet, instances, links := startZone(t, 4)
 	last := instances[3]
 	links[3].refuse(true)
-	w.startUpstream("i-1", "orders")
-	eventually(t, "the upstream is known", func() bool { return last.hasEndpoint("i-1") })
-	w.store.Put("servers/i-foreign", []byte{0}) // Another change follows, as when an instance registers anew.
-	eventually(t, "it is told", func() bool { return last.gateway.control.knownRevision.Load() >= w.store.Revision() })
-	last.dropChanges(w, "servers/i-1", true)
-	w.startUpstream("i-2", "orders")
+	fleet.startUpstream("i-1", "orders")
+	eventually(t, "the upstream is in use", func() bool { return last.hasEndpoint("i-1") })
+	fleet.store.Put("servers/i-foreign", []byte{0}) // Another change follows, as when an instance registers again.
+	eventually(t, "the last instance has the change", func() bool { return last.gateway.control.knownRevision.Load() >= fleet.store.Revision() })
+	last.dropChanges(fleet, "servers/i-1", true)
+	fleet.startUpstream("i-2", "orders")
 	for _, id := range []string{"i-1", "i-2"} {
-		eventually(t, "the upstream is known", func() bool { return last.hasEndpoint(id) })
+		eventually(t, "the upstream is in use", func() bool { return last.hasEndpoint(id) })
 	}
 }
 
-// A follower is told of some changes by another before its own watch brings them, and goes on
-// from there. Whoever missed these must be told of them all the same.
-func TestWhatAFollowerWasToldItTellsAgain(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.configure("h.example", "orders")
+// Guards against a gap in a follower's history: it receives some changes from another follower before
+// its own watch returns them, and its watch continues after them. It must resend those as well.
+func TestFollowerResendsChangesItReceived(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.configure("h.example", "orders")
 	eventually(t, "ready", func() bool { return in.ready(t) })
-	leads := inControl(in, func(c *control) bool {
+	complete := inControl(in, func(c *control) bool {
 		before := c.revision
 		c.handleChanges(time.Now(), changeBatch{After: before, At: before + 1, Items: []keyChange{{Key: "servers/i-1", Revision: before + 1, Deleted: true}}})
 		c.forwardChanges(nil, before+1, before+2)
 		got := c.history.after(before)
 		return len(got) == 2 && got[0].At == before+1 && got[1].At == before+2
 	})
-	if !leads {
-		t.Error("the history has a gap where another follower was faster")
+	if !complete {
+		t.Error("the history has a gap at changes received from another follower")
 	}
 }
 
-func TestHistoryLeadsOnWithoutAGap(t *testing.T) {
+func TestHistoryAfterHasNoGap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h history
 		now := time.Unix(1000, 0)
 		at := platform.Revision(10)
-		for range rapid.IntRange(0, 2*maxHistory).Draw(t, "feeds") {
+		for range rapid.IntRange(0, 2*maxHistory).Draw(t, "batches") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			after := at + platform.Revision(rapid.SampledFrom([]int{0, 0, 0, 0, 0, 1}).Draw(t, "gap"))
 			at = after + platform.Revision(rapid.IntRange(1, 5).Draw(t, "changes"))
 			h.add(now, changeBatch{After: after, At: at})
 		}
 		if len(h.batches) > maxHistory || len(h.batches) != len(h.times) {
-			t.Fatalf("%d feeds are kept", len(h.batches))
+			t.Fatalf("%d batches are kept", len(h.batches))
 		}
 		known := platform.Revision(rapid.Uint64Range(5, uint64(at)+5).Draw(t, "known"))
 		got := h.after(known)
 		if len(got) > 0 && (got[0].After > known || got[len(got)-1].At != at) {
 			t.Fatalf("from %d: %+v", known, got)
 		}
-		if len(got) == 0 && known < at && len(h.batches) > 0 && h.batches[0].After <= known && !slices.ContainsFunc(h.batches, func(f changeBatch) bool { return f.After > known }) {
-			t.Fatalf("nothing leads on from %d", known)
+		if len(got) == 0 && known < at && len(h.batches) > 0 && h.batches[0].After <= known && !slices.ContainsFunc(h.batches, func(b changeBatch) bool { return b.After > known }) {
+			t.Fatalf("no batches after revision %d, though the history has them", known)
 		}
 	})
 }
 
-// A change that is too large for pieces is read from the store by each.
-func TestAChangeThatIsTooLargeForPiecesIsReadFromTheStore(t *testing.T) {
-	w, instances, _ := startZone(t, 3)
-	w.startUpstream("i-1", "orders")
-	w.configureVersion(7, strings.Repeat("long.", maxFragments*fragmentBytes/5)+"example", "orders")
+// A change that is too large even for fragments is read from the store by each instance.
+func TestChangeTooLargeForFragmentsIsReadFromStore(t *testing.T) {
+	fleet, instances, _ := startZone(t, 3)
+	fleet.startUpstream("i-1", "orders")
+	fleet.configureVersion(7, strings.Repeat("long.", maxFragments*fragmentBytes/5)+"example", "orders")
 	for _, in := range instances {
 		eventually(t, "the version is in force", func() bool { return in.gateway.control.snapshot.Load().Version == 7 })
 	}
 }
 
-// The load that it answers: the store loses every registration while it is away. Those that
-// are told of it must not take the upstreams for gone, either.
-func TestRegistrationsThatLapseWithTheStoreStayInUseEverywhere(t *testing.T) {
-	w, instances, _ := startZone(t, 3)
-	w.startUpstream("i-1", "orders")
+// Guards against dropping all upstreams: their registrations expire in an outage of the store.
+// Instances that get the deletions from a follower must keep the upstreams for a grace period too.
+func TestUpstreamsStayInUseWhenRegistrationsExpireInStoreOutage(t *testing.T) {
+	fleet, instances, _ := startZone(t, 3)
+	fleet.startUpstream("i-1", "orders")
 	for _, in := range instances {
-		eventually(t, "the upstream is known", func() bool { return in.hasEndpoint("i-1") })
+		eventually(t, "the upstream is in use", func() bool { return in.hasEndpoint("i-1") })
 	}
-	w.store.SetFault(standin.Unavailable)
+	fleet.store.SetFault(standin.Unavailable)
 	for _, in := range instances {
-		eventually(t, "the loss is noticed", func() bool {
+		eventually(t, "the store outage is noticed", func() bool {
 			return strings.Contains(in.logs.String(), `"msg":"store unavailable; serving with the last known state"`)
 		})
 	}
-	w.store.Delete("servers/i-1")
-	w.store.SetFault(standin.NoFault)
+	fleet.store.Delete("servers/i-1")
+	fleet.store.SetFault(standin.NoFault)
 	for _, in := range instances {
-		eventually(t, "the lapse is known", func() bool {
+		eventually(t, "the missing registration is noticed", func() bool {
 			return strings.Contains(in.logs.String(), "upstream registration missing after a store outage")
 		})
 	}
 }
 
-func TestAFeedIsCutIntoDatagramsThatJoin(t *testing.T) {
+func TestChangeBatchDatagramsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var items []platform.Item
 		after := platform.Revision(rapid.Uint64Range(1, 1e9).Draw(t, "after"))
@@ -390,7 +393,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		known, taken := after, 0
+		known, applied := after, 0
 		var assembler reassembler
 		for _, data := range datagrams {
 			if len(data) > maxDatagramBytes {
@@ -413,16 +416,16 @@
 				t.Fatalf("a gap between %d and %d", known, f.After)
 			}
 			known = f.At
-			taken += len(f.Items)
+			applied += len(f.Items)
 		}
-		if tooLarge == 0 && (taken != len(items) || known != at) {
-			t.Fatalf("%d of %d changes, up to %d of %d", taken, len(items), known, at)
+		if tooLarge == 0 && (applied != len(items) || known != at) {
+			t.Fatalf("%d of %d changes, up to %d of %d", applied, len(items), known, at)
 		}
 	})
 }
 
-// Pieces come out of order, twice, not at all, or of a feed that another has replaced.
-func TestPiecesJoinInAnyOrder(t *testing.T) {
+// Fragments arrive out of order, twice, not at all, or from a batch that a newer one has replaced.
+func TestFragmentsReassembleInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var j reassembler
 		want := make(map[platform.Revision]string)
@@ -443,22 +446,23 @@
 			}
 		}
 		for range 3 * len(all) {
-			p := rapid.SampledFrom(all).Draw(t, "piece")
+			p := rapid.SampledFrom(all).Draw(t, "fragment")
 			if got := j.add(p); got != nil && string(got) != want[p.At] {
-				t.Fatalf("%d bytes of feed %d, %d sent", len(got), p.At, len(want[p.At]))
+				t.Fatalf("%d bytes of batch %d, %d sent", len(got), p.At, len(want[p.At]))
 			}
 		}
 	})
 }
 
-// The load that it answers: hundreds of changes a second, told in bursts of dozens of datagrams,
-// of which one is lost. A configuration after it is in force at once, and the gap is asked for.
-func TestAConfigurationAfterAGapIsAdopted(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.configure("h.example", "orders")
+// Guards against a configuration that waits for missed changes: of a burst of dozens of datagrams, at
+// hundreds of changes a second, one is lost. A configuration after the gap applies at once, and the
+// missed changes are requested.
+func TestConfigurationAfterGapIsApplied(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.configure("h.example", "orders")
 	eventually(t, "ready", func() bool { return in.ready(t) })
-	value := w.store.Value("op/config")
+	value := fleet.store.Value("op/config")
 	next := bytes.Replace(value, []byte("00000001"), []byte("00000009"), 1)
 	older := bytes.Replace(value, []byte("00000001"), []byte("00000004"), 1)
 	type state struct {
@@ -482,14 +486,14 @@
 	eventually(t, "in force", func() bool { return in.gateway.control.snapshot.Load().Version == 9 })
 }
 
-// What was told of before is not taken in again: a slow watch must not bring back what a
-// later change has replaced.
-func TestAnOlderChangeDoesNotReplaceALaterOne(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.configure("h.example", "orders")
-	u := w.startUpstream("i-1", "orders")
-	eventually(t, "known", func() bool { return in.hasEndpoint("i-1") })
+// Guards against stale data: a slow watch or read must not restore what a later change, received
+// from a follower, has replaced.
+func TestOlderChangeDoesNotReplaceLaterOne(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.configure("h.example", "orders")
+	u := fleet.startUpstream("i-1", "orders")
+	eventually(t, "the upstream is in use", func() bool { return in.hasEndpoint("i-1") })
 	c := in.gateway.control
 	done := make(chan platform.Revision, 1)
 	entry := fmt.Appendf(nil, `{"service":"orders","address":%q,"zone":"a","version":"v1","capacity":4,"state":"ready","warmup_left":"0ms","sequence":4}`, u.addr)
@@ -502,11 +506,11 @@
 		done <- c.revision - later
 	})
 	if back := <-done; back != 0 || in.hasEndpoint("i-1") {
-		t.Errorf("the revision went by %d, the upstream that left is known: %t", back, in.hasEndpoint("i-1"))
+		t.Errorf("revision differs by %d; the deleted upstream is in use: %t", back, in.hasEndpoint("i-1"))
 	}
 }
 
-func FuzzDecodeFeed(f *testing.F) {
+func FuzzDecodeChangeBatch(f *testing.F) {
 	data, err := encodeKind(datagramChanges, newChangeBatch(1, []platform.Item{{Key: "servers/i-1", Value: []byte("{}"), Revision: 7}}, 6, 7))
 	if err != nil {
 		f.Fatal(err)
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -105,18 +105,18 @@
 	if now.Sub(c.coordinatorSince) < coordinatorWarmUp {
 		return r
 	}
-	heard := make(map[string]bool)
+	zoneAlive := make(map[string]bool)
 	var silent []*member
 	for _, e := range c.members.byKey {
 		if e.isSilent(now) {
 			silent = append(silent, e)
 		} else {
-			heard[e.Zone] = true
+			zoneAlive[e.Zone] = true
 		}
 	}
 	for _, e := range silent {
 		switch {
-		case !heard[e.Zone] && e.Zone != c.settings.Instance.Zone:
+		case !zoneAlive[e.Zone] && e.Zone != c.settings.Instance.Zone:
 			if !slices.Contains(r.SilentZones, e.Zone) {
 				r.SilentZones = append(r.SilentZones, e.Zone)
 			}
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// readTimeout is many times the store's usual response time of 4 ms, and less than the 2 s in
+	// readTimeout is many times the store's typical response time of 4 ms, and less than the 2 s in
 	// which changes must take effect.
 	readTimeout = time.Second
 	// watchWait is how long a watch waits for a change. Keep-alives detect a dead connection sooner.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -22,14 +22,14 @@
 
 const waitTimeout = 20 * time.Second
 
-// world is a store, upstreams and instances on the loopback address.
-type world struct {
+// testFleet is a store, upstreams and instances on loopback addresses.
+type testFleet struct {
 	t         *testing.T
 	store     *standin.Store
 	instances []*instance
 	version   int
 
-	brokersFrom int // Of the instances' settings; 0 for the default.
+	brokersFrom int // place.brokers_from of the instances; 0 for the default.
 }
 
 type instance struct {
@@ -40,7 +40,7 @@
 	logs     *syncBuffer
 }
 
-// syncBuffer is a buffer that a test reads while an instance writes.
+// syncBuffer is a buffer that is safe for concurrent use: a test reads what an instance logs.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -58,33 +58,33 @@
 	return s.b.String()
 }
 
-func newWorld(t *testing.T) *world {
+func newTestFleet(t *testing.T) *testFleet {
 	t.Helper()
 	store, err := standin.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(store.Close)
-	return &world{t: t, store: store}
+	return &testFleet{t: t, store: store}
 }
 
-// nextPort is the next port to hand out, under the range from which outgoing connections take
-// theirs: those to this process's address come from it too, and could take a port meanwhile.
+// nextPort counts the ports that freeAddr has returned. They are below the ephemeral range, from which
+// an outgoing connection could take a port before the test listens on it.
 var nextPort atomic.Int32
 
 const (
-	firstPort = 10_000
-	ports     = 20_000
-	octet     = 250 // Values of an octet that make up a process's own address.
+	firstPort   = 10_000
+	portCount   = 20_000
+	octetValues = 250 // Values of one octet of the process's own address.
 )
 
-// freeAddr returns an address that is free, on a loopback address of this process alone.
+// freeAddr returns a free address and port, on a loopback address that only this process uses.
 func freeAddr(t *testing.T, network string) string {
 	t.Helper()
 	pid := os.Getpid()
 	for {
-		port := firstPort + int(nextPort.Add(1))%ports
-		at := fmt.Sprintf("127.%d.%d.%d:%d", 64+pid/octet/octet%64, pid/octet%octet, pid%octet+1, port)
+		port := firstPort + int(nextPort.Add(1))%portCount
+		at := fmt.Sprintf("127.%d.%d.%d:%d", 64+pid/octetValues/octetValues%64, pid/octetValues%octetValues, pid%octetValues+1, port)
 		if network == "udp" {
 			c, err := net.ListenPacket("udp4", at)
 			if err == nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (w *world) settingsFile(id, zone string) string {
+func (fleet *testFleet) settingsFile(id, zone string) string {
 	text := fmt.Sprintf(`[instance]
 id = %q
 zone = %q
@@ -120,49 +120,49 @@
 brokers_from = %d
 [log]
 requests = "all"
-`, id, zone, freeAddr(w.t, "tcp"), freeAddr(w.t, "tcp"), freeAddr(w.t, "tcp"), freeAddr(w.t, "udp"), freeAddr(w.t, "tcp"), w.store.Addr(), cmp.Or(w.brokersFrom, DefaultSettings().Place.BrokersFrom))
-	path := filepath.Join(w.t.TempDir(), id+".toml")
+`, id, zone, freeAddr(fleet.t, "tcp"), freeAddr(fleet.t, "tcp"), freeAddr(fleet.t, "tcp"), freeAddr(fleet.t, "udp"), freeAddr(fleet.t, "tcp"), fleet.store.Addr(), cmp.Or(fleet.brokersFrom, DefaultSettings().Place.BrokersFrom))
+	path := filepath.Join(fleet.t.TempDir(), id+".toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
 	return path
 }
 
-func (w *world) startInstance(id, zone string) *instance {
-	w.t.Helper()
-	return w.startWith(w.settingsFile(id, zone), id)
+func (fleet *testFleet) startInstance(id, zone string) *instance {
+	fleet.t.Helper()
+	return fleet.startWith(fleet.settingsFile(id, zone), id)
 }
 
-func (w *world) startWith(settings, id string) *instance {
-	w.t.Helper()
+func (fleet *testFleet) startWith(settings, id string) *instance {
+	fleet.t.Helper()
 	in := &instance{settings: settings, logs: &syncBuffer{}, done: make(chan error, 1)}
 	g, err := New(in.settings, in.logs)
 	if err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
 	in.gateway = g
 	ctx, cancel := context.WithCancel(context.Background())
 	in.stop = cancel
 	go func() { in.done <- g.Run(ctx, make(chan os.Signal)) }()
-	w.t.Cleanup(func() {
+	fleet.t.Cleanup(func() {
 		cancel()
 		select {
 		case <-in.done:
 		case <-time.After(waitTimeout):
-			w.t.Errorf("instance %s does not stop", id)
+			fleet.t.Errorf("instance %s does not stop", id)
 		}
 	})
-	w.instances = append(w.instances, in)
+	fleet.instances = append(fleet.instances, in)
 	return in
 }
 
-// configure writes a configuration that routes a host to a service.
-func (w *world) configure(host, service string) {
-	w.version++
-	w.configureVersion(w.version, host, service)
+// configure writes the next version of the configuration, which routes a host to a service.
+func (fleet *testFleet) configure(host, service string) {
+	fleet.version++
+	fleet.configureVersion(fleet.version, host, service)
 }
 
-func (w *world) configureVersion(version int, host, service string) {
+func (fleet *testFleet) configureVersion(version int, host, service string) {
 	route := func(kind, prefix string) map[string]any {
 		return map[string]any{"host": host, "path_prefix": prefix, "route_kind": kind, "timeout": "5000ms", "target_latency": "1000ms",
 			"priority": 1, "service": service, "max_attempts": 2}
@@ -174,12 +174,12 @@
 		"limits":   map[string]any{"max_header_bytes": 8192, "max_body_bytes": 100_000, "header_timeout": "3000ms", "idle_timeout": "15000ms"},
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
-	w.store.Put("op/config", value)
+	fleet.store.Put("op/config", value)
 }
 
-// upstream is an endpoint that registers itself.
+// upstream is a test server that is registered as an endpoint.
 type upstream struct {
 	id       string
 	addr     string
@@ -188,23 +188,23 @@
 	hold     atomic.Pointer[chan struct{}]
 }
 
-func (w *world) startUpstream(id, service string) *upstream {
-	w.t.Helper()
+func (fleet *testFleet) startUpstream(id, service string) *upstream {
+	fleet.t.Helper()
 	u := &upstream{id: id}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
 	u.addr = l.Addr().String()
 	server := &http.Server{Handler: u}
 	go func() { _ = server.Serve(l) }()
-	w.t.Cleanup(func() { _ = server.Close() })
-	w.register(u, service, "ready")
+	fleet.t.Cleanup(func() { _ = server.Close() })
+	fleet.register(u, service, "ready")
 	return u
 }
 
-func (w *world) register(u *upstream, service, state string) {
-	w.store.Put("servers/"+u.id, fmt.Appendf(nil,
+func (fleet *testFleet) register(u *upstream, service, state string) {
+	fleet.store.Put("servers/"+u.id, fmt.Appendf(nil,
 		`{"service":%q,"address":%q,"zone":"a","version":"v1","capacity":4,"state":%q,"warmup_left":"0ms","sequence":4}`, service, u.addr, state))
 }
 
@@ -228,7 +228,7 @@
 
 var nextRequest atomic.Int64
 
-// ask sends a request to an instance and returns the status, the body and the id.
+// send sends a request to an instance and returns the status, the body and the request id.
 func (in *instance) send(t *testing.T, host, path string) (int, string, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+in.gateway.current().Listen.Callers+path, nil)
@@ -272,7 +272,7 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
 func (in *instance) ready(t *testing.T) bool {
@@ -290,18 +290,18 @@
 	return reply.Addresses
 }
 
-func TestWholePath(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
+func TestRequestIsServedEndToEnd(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
 	if status, _, _ := in.send(t, "h.example", "/x"); status != http.StatusServiceUnavailable {
 		t.Errorf("without a configuration: status %d", status)
 	}
 	if in.ready(t) {
 		t.Error("ready without a configuration")
 	}
-	w.configure("h.example", "orders")
-	w.startUpstream("i-1", "orders")
-	w.store.Put("servers/i-foreign", []byte("\x00"))
+	fleet.configure("h.example", "orders")
+	fleet.startUpstream("i-1", "orders")
+	fleet.store.Put("servers/i-foreign", []byte("\x00"))
 	eventually(t, "ready", func() bool { return in.ready(t) })
 	eventually(t, "served", func() bool {
 		status, body, _ := in.send(t, "H.example:80", "/x")
@@ -320,49 +320,49 @@
 	}
 }
 
-// A configuration of which one route is not understood serves the others, and what is not
-// understood is logged once.
-func TestRouteThatIsNotUnderstoodStopsNoOther(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.startUpstream("i-1", "orders")
+// Guards against one unsupported route disabling the others. What is not supported is logged once,
+// not again with each version.
+func TestUnsupportedRouteLeavesOthersWorking(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.startUpstream("i-1", "orders")
 	for version := 1; version <= 2; version++ {
-		w.store.Put("op/config", fmt.Appendf(nil, `{"version":"%08x","services":{"orders":{}},"limits":{},"routes":{
+		fleet.store.Put("op/config", fmt.Appendf(nil, `{"version":"%08x","services":{"orders":{}},"limits":{},"routes":{
 			"plain":{"host":"h.example","path_prefix":"/","route_kind":"unsafe","timeout":"5s","target_latency":"1s","service":"orders"},
 			"kind":{"host":"h.example","path_prefix":"/kind/","route_kind":"teleport","timeout":"5s","target_latency":"1s","service":"orders"},
 			"odd":{"host":"h.example","path_prefix":"/odd/","route_kind":"unsafe","timeout":"5s","target_latency":"1s","service":{"name":"orders"}}}}`, version))
 	}
-	eventually(t, "both are in force", func() bool { return in.gateway.control.snapshot.Load().Version == 2 })
+	eventually(t, "version 2 is in force", func() bool { return in.gateway.control.snapshot.Load().Version == 2 })
 	eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == 200 })
 	if status, _, _ := in.send(t, "h.example", "/kind/x"); status != http.StatusOK {
-		t.Errorf("a kind that is not known: status %d", status)
+		t.Errorf("a route of unknown kind: status %d", status)
 	}
 	if status, _, _ := in.send(t, "h.example", "/odd/x"); status != http.StatusServiceUnavailable {
-		t.Errorf("a service that is not understood: status %d", status)
+		t.Errorf("a route with an unsupported service: status %d", status)
 	}
-	eventually(t, "it is logged", func() bool { return strings.Contains(in.logs.String(), "route odd: service") })
+	eventually(t, "the unsupported route is logged", func() bool { return strings.Contains(in.logs.String(), "route odd: service") })
 	if got := strings.Count(in.logs.String(), "route kind: route_kind"); got != 1 {
-		t.Errorf("%d lines of one thing that is not understood", got)
+		t.Errorf("%d log lines about one unsupported value, want 1", got)
 	}
 }
 
-func TestOneInstancesFailureIsEveryonesEvidence(t *testing.T) {
-	w := newWorld(t)
-	a, b := w.startInstance("one", "a"), w.startInstance("two", "b")
-	w.configure("h.example", "orders")
-	bad, good := w.startUpstream("i-bad", "orders"), w.startUpstream("i-good", "orders")
+func TestInstancesShareOutcomes(t *testing.T) {
+	fleet := newTestFleet(t)
+	a, b := fleet.startInstance("one", "a"), fleet.startInstance("two", "b")
+	fleet.configure("h.example", "orders")
+	bad, good := fleet.startUpstream("i-bad", "orders"), fleet.startUpstream("i-good", "orders")
 	bad.failing.Store(true)
 	for _, in := range []*instance{a, b} {
-		eventually(t, "the other is known", func() bool { return len(in.gateway.control.snapshot.Load().alive) == 1 })
+		eventually(t, "the other instance is alive", func() bool { return len(in.gateway.control.snapshot.Load().alive) == 1 })
 	}
-	eventually(t, "one sees the failure", func() bool { _, _, _ = a.send(t, "h.example", "/x"); return bad.requests.Load() > 0 })
-	eventually(t, "one sees a success", func() bool { status, _, _ := a.send(t, "h.example", "/x"); return status == 200 })
-	eventually(t, "two has heard of it", func() bool {
-		heard := make(chan bool, 1)
+	eventually(t, "the first instance gets a failure", func() bool { _, _, _ = a.send(t, "h.example", "/x"); return bad.requests.Load() > 0 })
+	eventually(t, "the first instance gets a success", func() bool { status, _, _ := a.send(t, "h.example", "/x"); return status == 200 })
+	eventually(t, "the second instance has the report", func() bool {
+		learned := make(chan bool, 1)
 		b.gateway.control.post(func() {
-			heard <- b.gateway.control.machine.Chance(time.Now(), endpointID("i-bad")) < 0.5
+			learned <- b.gateway.control.machine.Chance(time.Now(), endpointID("i-bad")) < 0.5
 		})
-		return <-heard
+		return <-learned
 	})
 	before := bad.requests.Load()
 	for range 5 {
@@ -371,44 +371,44 @@
 		}
 	}
 	if got := bad.requests.Load(); got != before {
-		t.Errorf("the failing upstream got %d requests of an instance that had not seen it fail", got-before)
+		t.Errorf("the failing upstream got %d requests from an instance that had the reports of its failures", got-before)
 	}
 }
 
-func TestConfigurationIsAdoptedAndNeverGoesBack(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.configureVersion(5, "h.example", "orders")
-	w.startUpstream("i-1", "orders")
-	w.startUpstream("i-2", "bookings")
-	eventually(t, "the first is in force", func() bool { _, body, _ := in.send(t, "h.example", "/x"); return body == "i-1" })
-	w.configureVersion(9, "h.example", "bookings")
-	eventually(t, "the second is in force", func() bool { _, body, _ := in.send(t, "h.example", "/x"); return body == "i-2" })
-	w.configureVersion(7, "h.example", "orders")
-	w.store.Put("op/config", []byte("{"))
-	w.store.Compact()
-	w.store.SetFault(standin.NoFault) // Cuts the watch.
-	eventually(t, "everything is read anew", func() bool { return w.store.Calls("range") >= 2 })
+func TestConfigurationVersionNeverGoesBack(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.configureVersion(5, "h.example", "orders")
+	fleet.startUpstream("i-1", "orders")
+	fleet.startUpstream("i-2", "bookings")
+	eventually(t, "version 5 is in force", func() bool { _, body, _ := in.send(t, "h.example", "/x"); return body == "i-1" })
+	fleet.configureVersion(9, "h.example", "bookings")
+	eventually(t, "version 9 is in force", func() bool { _, body, _ := in.send(t, "h.example", "/x"); return body == "i-2" })
+	fleet.configureVersion(7, "h.example", "orders")
+	fleet.store.Put("op/config", []byte("{"))
+	fleet.store.Compact()
+	fleet.store.SetFault(standin.NoFault) // Ends the watch, so that the instance reads the store again.
+	eventually(t, "all keys are read again", func() bool { return fleet.store.Calls("range") >= 2 })
 	for range 20 {
 		if _, body, id := in.send(t, "h.example", "/x"); body != "i-2" {
-			t.Fatalf("request %s is handled as version 7 allows: %q", id, body)
+			t.Fatalf("request %s is routed by version 7, want version 9: %q", id, body)
 		}
 	}
 }
 
-func TestALeavingUpstreamGetsNoNewWork(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.configure("h.example", "orders")
-	leaving, removed := w.startUpstream("i-1", "orders"), w.startUpstream("i-2", "orders")
-	w.startUpstream("i-3", "orders")
-	eventually(t, "all are used", func() bool {
+func TestDrainingUpstreamGetsNoNewRequests(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.configure("h.example", "orders")
+	leaving, removed := fleet.startUpstream("i-1", "orders"), fleet.startUpstream("i-2", "orders")
+	fleet.startUpstream("i-3", "orders")
+	eventually(t, "the first two upstreams are used", func() bool {
 		_, _, _ = in.send(t, "h.example", "/x")
 		return leaving.requests.Load() > 0 && removed.requests.Load() > 0
 	})
-	w.register(leaving, "orders", "draining")
-	w.store.Delete("servers/i-2")
-	eventually(t, "only the third is used", func() bool {
+	fleet.register(leaving, "orders", "draining")
+	fleet.store.Delete("servers/i-2")
+	eventually(t, "only the third upstream is used", func() bool {
 		before := leaving.requests.Load() + removed.requests.Load()
 		for range 20 {
 			_, _, _ = in.send(t, "h.example", "/x")
@@ -417,48 +417,48 @@
 	})
 }
 
-func TestTrafficGoesOnWhileTheStoreIsAway(t *testing.T) {
+func TestRequestsSucceedDuringStoreOutage(t *testing.T) {
 	for name, fault := range map[string]standin.Fault{"busy": standin.Unavailable, "silent": standin.Unresponsive} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			in := w.startInstance("one", "a")
-			w.configure("h.example", "orders")
-			w.startUpstream("i-1", "orders")
+			fleet := newTestFleet(t)
+			in := fleet.startInstance("one", "a")
+			fleet.configure("h.example", "orders")
+			fleet.startUpstream("i-1", "orders")
 			eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == 200 })
-			w.store.SetFault(fault)
-			eventually(t, "the loss is in the log", func() bool {
+			fleet.store.SetFault(fault)
+			eventually(t, "the outage is logged", func() bool {
 				return strings.Contains(in.logs.String(), `"msg":"store unavailable; serving with the last known state"`)
 			})
-			// The registration lapses with the store and comes back after its return.
-			w.store.Delete("servers/i-1")
+			// The upstream's registration expires in the outage.
+			fleet.store.Delete("servers/i-1")
 			if status, _, _ := in.send(t, "h.example", "/x"); status != 200 {
-				t.Errorf("while the store is away: status %d", status)
+				t.Errorf("during the store outage: status %d", status)
 			}
-			w.store.SetFault(standin.NoFault)
-			eventually(t, "the return is in the log", func() bool { return strings.Contains(in.logs.String(), `"msg":"store available again"`) })
+			fleet.store.SetFault(standin.NoFault)
+			eventually(t, "the end of the outage is logged", func() bool { return strings.Contains(in.logs.String(), `"msg":"store available again"`) })
 			if status, _, _ := in.send(t, "h.example", "/x"); status != 200 {
-				t.Errorf("just after the store's return: status %d", status)
+				t.Errorf("just after the store outage: status %d", status)
 			}
-			eventually(t, "a registration that stays away is gone", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == 503 })
+			eventually(t, "an upstream that does not register again is removed", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == 503 })
 		})
 	}
 }
 
-func TestAnInstanceRegistersAnewWhenItsKeyGoes(t *testing.T) {
-	w := newWorld(t)
-	w.startInstance("one", "a")
-	eventually(t, "registered", func() bool { return len(w.store.Keys(memberPrefix)) == 1 })
-	w.store.Delete(memberPrefix + "one")
-	eventually(t, "registered anew", func() bool { return len(w.store.Keys(memberPrefix)) == 1 })
+func TestInstanceRegistersAgainWhenKeyIsDeleted(t *testing.T) {
+	fleet := newTestFleet(t)
+	fleet.startInstance("one", "a")
+	eventually(t, "registered", func() bool { return len(fleet.store.Keys(memberPrefix)) == 1 })
+	fleet.store.Delete(memberPrefix + "one")
+	eventually(t, "registered again", func() bool { return len(fleet.store.Keys(memberPrefix)) == 1 })
 }
 
-func TestAPlannedStopCutsOffNothing(t *testing.T) {
-	w := newWorld(t)
-	leaving, staying := w.startInstance("one", "a"), w.startInstance("two", "a")
-	w.configure("h.example", "orders")
-	u := w.startUpstream("i-1", "orders")
+func TestPlannedStopCompletesRequestsInFlight(t *testing.T) {
+	fleet := newTestFleet(t)
+	leaving, staying := fleet.startInstance("one", "a"), fleet.startInstance("two", "a")
+	fleet.configure("h.example", "orders")
+	u := fleet.startUpstream("i-1", "orders")
 	both := func() bool { return len(staying.resolves(t)) == 2 && leaving.ready(t) }
-	eventually(t, "both are handed out", both)
+	eventually(t, "discovery returns both instances", both)
 	eventually(t, "served", func() bool { status, _, _ := leaving.send(t, "h.example", "/x"); return status == 200 })
 	hold := make(chan struct{})
 	u.hold.Store(&hold)
@@ -470,7 +470,7 @@
 	}()
 	eventually(t, "the request is at its upstream", func() bool { return u.requests.Load() > before })
 	leaving.stop()
-	eventually(t, "only one is handed out", func() bool { return len(staying.resolves(t)) == 1 })
+	eventually(t, "discovery returns one instance", func() bool { return len(staying.resolves(t)) == 1 })
 	if leaving.ready(t) {
 		t.Error("ready while leaving")
 	}
@@ -487,14 +487,14 @@
 	case <-time.After(waitTimeout):
 		t.Fatal("the instance does not stop")
 	}
-	if keys := w.store.Keys(memberPrefix); len(keys) != 1 {
+	if keys := fleet.store.Keys(memberPrefix); len(keys) != 1 {
 		t.Errorf("registrations %v", keys)
 	}
 }
 
-func TestSettingsAreReloadedWithoutASignal(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
+func TestSettingsAreReloadedWithoutSignal(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
 	text, err := os.ReadFile(in.settings)
 	if err != nil {
 		t.Fatal(err)
@@ -510,9 +510,9 @@
 		}
 	}
 	change(`requests = "all"`, `requests = "some"`)
-	eventually(t, "the fault is in the log", func() bool { return strings.Contains(in.logs.String(), "log.requests") })
+	eventually(t, "the error is logged", func() bool { return strings.Contains(in.logs.String(), "log.requests") })
 	if in.gateway.current().Log.Requests != LogAll {
-		t.Error("settings with a fault are in force")
+		t.Error("invalid settings are in force")
 	}
 	later := time.Now().Add(2 * time.Hour)
 	change(`requests = "all"`, `requests = "unserved"`)
--- a/internal/gateway/incident_test.go
+++ b/internal/gateway/incident_test.go
@@ -10,21 +10,21 @@
 	"github.com/damaskcove/damaskcove/platform/standin"
 )
 
-// Failures that operators of similar systems have told of.
+// These tests reproduce failures that operators of similar systems have reported.
 
-// A process stands still while the configuration changes and its watch hears nothing of it.
-// What it knew has run out when it goes on.
-func TestAPausedInstanceActsOnNothingThatRanOut(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.configure("h.example", "orders")
-	old, next := w.startUpstream("i-old", "orders"), w.startUpstream("i-next", "others")
+// Guards against serving by stale state: the process is paused while the configuration changes, and
+// its watch doesn't deliver the change. After the pause it must not use the old configuration.
+func TestPausedInstanceDoesNotUseStaleState(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.configure("h.example", "orders")
+	old, next := fleet.startUpstream("i-old", "orders"), fleet.startUpstream("i-next", "others")
 	eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
-	watches := w.store.Calls("watch")
-	w.store.SetFault(standin.NoWatchEvents) // It cuts the watch; the next hears nothing.
-	eventually(t, "the instance watches again", func() bool { return w.store.Calls("watch") > watches })
+	watches := fleet.store.Calls("watch")
+	fleet.store.SetFault(standin.NoWatchEvents) // Ends the watch; the next gets no events.
+	eventually(t, "the instance watches again", func() bool { return fleet.store.Calls("watch") > watches })
 	in.gateway.control.post(func() { time.Sleep(pause.MinPause + pause.MinPause/2) })
-	w.configure("h.example", "others")
+	fleet.configure("h.example", "others")
 	before := old.requests.Load()
 	eventually(t, "served again", func() bool {
 		status, body, id := in.send(t, "h.example", "/x")
@@ -38,25 +38,26 @@
 	}
 }
 
-// While there is no news to be had after a pause, an instance goes on with what it knew.
-func TestAPausedInstanceGoesOnWhileTheStoreIsAway(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.configure("h.example", "orders")
-	w.startUpstream("i-1", "orders")
+// After a pause during an outage of the store, when no newer state can be read, an instance serves
+// with the state that it had.
+func TestPausedInstanceServesDuringStoreOutage(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.configure("h.example", "orders")
+	fleet.startUpstream("i-1", "orders")
 	eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
-	w.store.SetFault(standin.Unresponsive)
+	fleet.store.SetFault(standin.Unresponsive)
 	in.gateway.control.post(func() { time.Sleep(pause.MinPause + pause.MinPause/2) })
 	eventually(t, "served again", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 }
 
-// An instance is restarted after an upstream has left and another's registration was
-// withdrawn. Old messages that still arrive bring neither back.
-func TestARestartedInstanceUsesNothingThatWasWithdrawn(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.configure("h.example", "orders")
-	left, stays := w.startUpstream("i-left", "orders"), w.startUpstream("i-stays", "orders")
+// Guards against requests to a removed upstream: it leaves before an instance restarts, registers again
+// and is removed again. Old change batches that still arrive must not restore it.
+func TestRestartedInstanceIgnoresOldChanges(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.configure("h.example", "orders")
+	left, stays := fleet.startUpstream("i-left", "orders"), fleet.startUpstream("i-stays", "orders")
 	eventually(t, "served by both", func() bool {
 		_, _, _ = in.send(t, "h.example", "/x")
 		return left.requests.Load() > 0 && stays.requests.Load() > 0
@@ -65,14 +66,14 @@
 	in.stop()
 	<-in.done
 	in.done <- nil
-	w.store.Delete("servers/" + left.id)
-	w.store.Compact()
-	again := w.startWith(in.settings, "one")
+	fleet.store.Delete("servers/" + left.id)
+	fleet.store.Compact()
+	again := fleet.startWith(in.settings, "one")
 	eventually(t, "served", func() bool { status, _, _ := again.send(t, "h.example", "/x"); return status == http.StatusOK })
-	w.register(left, "orders", "ready")
+	fleet.register(left, "orders", "ready")
 	entry := keyChange{Key: "servers/" + left.id, Value: []byte(`{"service":"orders","address":"` + left.addr + `","zone":"a","version":"v1","capacity":4,"state":"ready","warmup_left":"0ms","sequence":9}`)}
-	w.store.Delete("servers/" + left.id)
-	eventually(t, "the store is followed", func() bool { return platform.Revision(again.gateway.control.knownRevision.Load()) > revision+2 })
+	fleet.store.Delete("servers/" + left.id)
+	eventually(t, "the instance has the later revisions", func() bool { return platform.Revision(again.gateway.control.knownRevision.Load()) > revision+2 })
 	for back := range platform.Revision(4) {
 		entry.Revision = revision - back
 		data, err := encodeKind(datagramChanges, changeBatch{From: 99, After: 0, At: revision - back, Items: []keyChange{entry}})
@@ -92,13 +93,13 @@
 	}
 }
 
-// An upstream falls silent towards the store while it works on an order. The order is neither
-// given up nor started elsewhere.
-func TestASilentUpstreamsWorkIsNotGivenUp(t *testing.T) {
-	w := newWorld(t)
-	in := w.startInstance("one", "a")
-	w.configure("h.example", "orders")
-	silent := w.startUpstream("i-silent", "orders")
+// Guards against cancelling or repeating an unsafe request whose upstream loses its registration while
+// it works on the request.
+func TestRequestAtDeregisteredUpstreamIsNotRetried(t *testing.T) {
+	fleet := newTestFleet(t)
+	in := fleet.startInstance("one", "a")
+	fleet.configure("h.example", "orders")
+	silent := fleet.startUpstream("i-silent", "orders")
 	hold := make(chan struct{})
 	silent.hold.Store(&hold)
 	eventually(t, "ready", func() bool { return in.ready(t) })
@@ -111,21 +112,21 @@
 		status, body, _ := in.send(t, "h.example", "/x")
 		done <- answered{status, body}
 	}()
-	eventually(t, "the order runs", func() bool { return silent.requests.Load() == 1 })
-	other := w.startUpstream("i-other", "orders")
-	w.store.Delete("servers/" + silent.id)
-	eventually(t, "the silent one is gone", func() bool {
-		gone := make(chan bool, 1)
+	eventually(t, "the upstream has the request", func() bool { return silent.requests.Load() == 1 })
+	other := fleet.startUpstream("i-other", "orders")
+	fleet.store.Delete("servers/" + silent.id)
+	eventually(t, "the deregistered upstream is no longer used", func() bool {
+		removed := make(chan bool, 1)
 		in.gateway.control.post(func() {
-			gone <- in.gateway.control.machine.Chance(time.Now(), endpointID(silent.id)) == 0
+			removed <- in.gateway.control.machine.Chance(time.Now(), endpointID(silent.id)) == 0
 		})
-		return <-gone
+		return <-removed
 	})
 	close(hold)
 	if got := <-done; got.status != http.StatusOK || got.body != silent.id {
-		t.Errorf("the order ends with %d %q", got.status, got.body)
+		t.Errorf("the request ends with %d %q", got.status, got.body)
 	}
 	if silent.requests.Load() != 1 || other.requests.Load() != 0 {
-		t.Errorf("the order ran %d times there and %d times elsewhere", silent.requests.Load(), other.requests.Load())
+		t.Errorf("the request ran %d times there and %d times elsewhere", silent.requests.Load(), other.requests.Load())
 	}
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -22,7 +22,7 @@
 
 // memberRecord is an instance's registration.
 type memberRecord struct {
-	Peer       dispatch.PeerID `cbor:"1,keyasint"` // Incarnation: drawn anew at each start.
+	Peer       dispatch.PeerID `cbor:"1,keyasint"` // Incarnation: random, new at each start.
 	Zone       string          `cbor:"2,keyasint"`
 	CallerAddr string          `cbor:"3,keyasint"`           // Callers connect to it.
 	PeerAddr   netip.AddrPort  `cbor:"4,keyasint"`           // Other instances send datagrams to it.
@@ -194,15 +194,15 @@
 }
 
 // isolated reports whether fewer than half of the other instances have sent a message within
-// silenceTimeout. Then the fault may be this instance's own, and silence is no evidence against another.
+// silenceTimeout. Then the problem may be this instance's own, and silence is no evidence against another.
 func (m *members) isolated(now time.Time) bool {
-	heard := 0
+	seen := 0
 	for _, e := range m.byKey {
 		if now.Sub(e.lastSeen) <= silenceTimeout {
-			heard++
+			seen++
 		}
 	}
-	return 2*heard < len(m.byKey)
+	return 2*seen < len(m.byKey)
 }
 
 // alive returns the instances to which callers and messages may be sent.
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -11,8 +11,8 @@
 	"github.com/damaskcove/damaskcove/coord/dispatch"
 )
 
-// zones is the instances of some zones, whose datagrams arrive at once.
-type zones struct {
+// testNetwork connects the instances of some zones. Datagrams arrive at once and none is lost.
+type testNetwork struct {
 	t          *testing.T
 	peerRoutes map[netip.AddrPort]*peerRoutes
 	relays     map[netip.AddrPort]*relay
@@ -20,9 +20,9 @@
 	sent       map[netip.AddrPort]int                     // Datagrams.
 }
 
-func newZones(t *testing.T, sizes map[string]int) (*zones, []*member) {
+func newTestNetwork(t *testing.T, sizes map[string]int) (*testNetwork, []*member) {
 	t.Helper()
-	z := &zones{t: t, peerRoutes: map[netip.AddrPort]*peerRoutes{}, relays: map[netip.AddrPort]*relay{}, received: map[netip.AddrPort]map[dispatch.PeerID]int{}, sent: map[netip.AddrPort]int{}}
+	network := &testNetwork{t: t, peerRoutes: map[netip.AddrPort]*peerRoutes{}, relays: map[netip.AddrPort]*relay{}, received: map[netip.AddrPort]map[dispatch.PeerID]int{}, sent: map[netip.AddrPort]int{}}
 	var all []*member
 	for zone, n := range sizes {
 		for i := range n {
@@ -32,69 +32,69 @@
 	}
 	for k, e := range all {
 		others := append(append([]*member{}, all[:k]...), all[k+1:]...)
-		z.peerRoutes[e.PeerAddr] = newPeerRoutes(others, e.memberRecord)
-		z.received[e.PeerAddr] = map[dispatch.PeerID]int{}
-		z.relays[e.PeerAddr] = &relay{
-			send:      func(data []byte, to []netip.AddrPort) { z.send(e.PeerAddr, data, to) },
-			targets:   func() []netip.AddrPort { return z.peerRoutes[e.PeerAddr].zone },
-			afterFunc: func(time.Duration, func()) {}, // tell ends every wait.
+		network.peerRoutes[e.PeerAddr] = newPeerRoutes(others, e.memberRecord)
+		network.received[e.PeerAddr] = map[dispatch.PeerID]int{}
+		network.relays[e.PeerAddr] = &relay{
+			send:      func(data []byte, to []netip.AddrPort) { network.send(e.PeerAddr, data, to) },
+			targets:   func() []netip.AddrPort { return network.peerRoutes[e.PeerAddr].zone },
+			afterFunc: func(time.Duration, func()) {}, // broadcastAll flushes instead.
 		}
 	}
-	return z, all
+	return network, all
 }
 
-func (z *zones) send(from netip.AddrPort, data []byte, to []netip.AddrPort) {
+func (network *testNetwork) send(from netip.AddrPort, data []byte, to []netip.AddrPort) {
 	if len(data) > maxDatagramBytes {
-		z.t.Fatalf("%d bytes", len(data))
+		network.t.Fatalf("%d bytes", len(data))
 	}
 	for _, at := range to {
-		z.sent[from]++
+		network.sent[from]++
 		list, err := decodeMessages(data)
 		if err != nil {
-			z.t.Fatal(err)
+			network.t.Fatal(err)
 		}
 		for _, m := range list {
-			z.received[at][m.From]++
+			network.received[at][m.From]++
 		}
 		if data[0] != datagramMessages {
-			z.relays[at].forward(data[1:], data[0] == datagramRelayNow)
+			network.relays[at].forward(data[1:], data[0] == datagramRelayNow)
 		}
 	}
 }
 
-// tell has every instance send a number of messages.
-func (z *zones) broadcastAll(all []*member, messages int) {
+// broadcastAll has every instance send a number of messages, and flushes the relays.
+func (network *testNetwork) broadcastAll(all []*member, messages int) {
 	for range messages {
 		for _, e := range all {
 			data, err := encodeMessage(message{From: e.Peer, Events: []dispatch.Event{{Endpoint: 1, Kind: dispatch.Started}}})
 			if err != nil {
-				z.t.Fatal(err)
+				network.t.Fatal(err)
 			}
-			broadcast(data, false, z.peerRoutes[e.PeerAddr], func(data []byte, to []netip.AddrPort) { z.send(e.PeerAddr, data, to) }, z.relays[e.PeerAddr])
+			broadcast(data, false, network.peerRoutes[e.PeerAddr], func(data []byte, to []netip.AddrPort) { network.send(e.PeerAddr, data, to) }, network.relays[e.PeerAddr])
 		}
 	}
-	for _, r := range z.relays {
+	for _, r := range network.relays {
 		r.flushDue()
 	}
 }
 
-func TestEveryInstanceHearsEachMessageOnce(t *testing.T) {
+func TestBroadcastReachesEveryInstanceOnce(t *testing.T) {
 	for _, sizes := range []map[string]int{{"a": 1}, {"a": 12, "b": 3}, {"a": 40, "b": 12, "c": 1}, {"a": 33, "b": 33, "c": 33}} {
-		z, all := newZones(t, sizes)
-		z.broadcastAll(all, 3)
+		network, all := newTestNetwork(t, sizes)
+		network.broadcastAll(all, 3)
 		for _, to := range all {
 			for _, from := range all {
-				if got := z.received[to.PeerAddr][from.Peer]; to != from && got != 3 {
-					t.Fatalf("zones %v: %s heard %d of 3 messages of %s", sizes, to.PeerAddr, got, from.PeerAddr)
+				if got := network.received[to.PeerAddr][from.Peer]; to != from && got != 3 {
+					t.Fatalf("zones %v: %s received %d of 3 messages from %s", sizes, to.PeerAddr, got, from.PeerAddr)
 				}
 			}
 		}
 	}
 }
 
-// The load that it answers: of forty instances of a zone two have links of 200 Mbit/s, the others
-// of 10, which a relay fills: what it drops are repeats that nobody counts.
-func TestTheFastestLinksRelay(t *testing.T) {
+// Guards against a relay with a slow link. Of forty instances of a zone two have links of 200 Mbit/s,
+// the others of 10 Mbit/s, which a relay saturates: the retries in dropped reports are not counted.
+func TestRelaysHaveFastestLinks(t *testing.T) {
 	var zone []*member
 	for i := range 40 {
 		e := &member{memberRecord: memberRecord{Zone: "a", LinkMbps: 10, PeerAddr: netip.MustParseAddrPort(fmt.Sprintf("10.1.0.%d:7540", i+1))}}
@@ -123,42 +123,42 @@
 	}
 }
 
-// The load that it answers: in a fleet of a hundred instances every one tells all others of
-// each request, thousands of times a second.
-func TestMessagesThatComeTogetherAreSentTogether(t *testing.T) {
-	z, all := newZones(t, map[string]int{"a": 40})
-	for _, r := range z.relays {
-		r.lastSent = time.Now().Add(time.Hour) // Nothing is due until the test says so.
-	}
-	z.broadcastAll(all, 4)
+// Guards against a datagram per message and receiver: in a fleet of a hundred instances each reports
+// every request to all others, thousands of times a second.
+func TestRelayBatchesFrequentMessages(t *testing.T) {
+	network, all := newTestNetwork(t, map[string]int{"a": 40})
+	for _, r := range network.relays {
+		r.lastSent = time.Now().Add(time.Hour) // No message is sent before broadcastAll flushes.
+	}
+	network.broadcastAll(all, 4)
 	total := 0
-	for _, n := range z.sent {
+	for _, n := range network.sent {
 		total += n
 	}
 	if direct := 40 * 39 * 4; total > direct/10 {
-		t.Errorf("%d datagrams for 160 messages to 39 others, one by one it is %d", total, direct)
+		t.Errorf("%d datagrams for 160 messages to 39 others; sent directly it is %d", total, direct)
 	}
 }
 
-// The load that it answers: a quiet fleet, in which evidence is worth most while it is fresh.
-func TestALoneMessageIsPassedOnAtOnce(t *testing.T) {
+// In a fleet with few requests a report must not wait: it is most useful while it is fresh.
+func TestRelayForwardsSingleMessageAtOnce(t *testing.T) {
 	sends := 0
 	r := &relay{send: func([]byte, []netip.AddrPort) { sends++ }, targets: func() []netip.AddrPort { return nil }, afterFunc: func(time.Duration, func()) {}}
 	r.forward([]byte{1}, false)
 	if sends != 1 {
-		t.Error("the message waits though none came before it")
+		t.Error("a single message is delayed")
 	}
 	r.forward([]byte{2}, false)
 	if sends != 1 {
-		t.Error("a second message that can wait does not")
+		t.Error("a second message is not batched")
 	}
 	r.forward([]byte{3}, true)
 	if sends != 2 {
-		t.Error("an urgent message waits")
+		t.Error("an urgent message is delayed")
 	}
 	r.forward([]byte{4}, false)
 	r.flushDue()
 	if sends != 3 || len(r.pending) != 0 {
-		t.Errorf("%d datagrams, %d bytes wait", sends, len(r.pending))
+		t.Errorf("%d datagrams, %d bytes pending", sends, len(r.pending))
 	}
 }
--- a/internal/gateway/unit_test.go
+++ b/internal/gateway/unit_test.go
@@ -22,7 +22,7 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-func TestRouterTakesTheLongestPrefix(t *testing.T) {
+func TestRouterPrefersLongestPrefix(t *testing.T) {
 	r := newRouter(&platform.Config{Routes: []platform.Route{
 		{Name: "all", Host: "h", Prefix: "/"}, {Name: "a", Host: "h", Prefix: "/a/"}, {Name: "ab", Host: "h", Prefix: "/a/b/"}, {Name: "other", Host: "g", Prefix: "/a/b/c/"},
 	}})
@@ -30,12 +30,12 @@
 		"/": "all", "/a": "all", "/a/": "a", "/a/b": "a", "/a/b/?/a/": "ab", "/a/b/c/d": "ab", "/?/a/b/": "all", "x": "",
 	} {
 		if got, _ := r.find("H:80", uri); got.Name != want {
-			t.Errorf("%q goes to %q, want %q", uri, got.Name, want)
+			t.Errorf("%q is routed to %q, want %q", uri, got.Name, want)
 		}
 	}
 }
 
-func TestWeightsAreKept(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	parts := []platform.WeightedService{{Service: "a", Weight: 900}, {Service: "b", Weight: 100}}
 	n := 0
 	const draws = 20_000
@@ -45,11 +45,11 @@
 		}
 	}
 	if n < draws/10*8/10 || n > draws/10*12/10 {
-		t.Errorf("%d of %d draws for a tenth", n, draws)
+		t.Errorf("%d of %d draws for a weight of a tenth", n, draws)
 	}
 }
 
-func TestSettingsListEveryFault(t *testing.T) {
+func TestParseSettingsReportsEveryError(t *testing.T) {
 	_, err := ParseSettings("f.toml", []byte(`[instance]
 id = ""
 zone = "a"
@@ -72,12 +72,12 @@
 	}
 	for _, key := range []string{"instance.id", "instance.link_mbps", "instance.colour", "listen.callers", "listen.ready", "store.address", "retry.ratio", "place.floor_share", "promises.drain_within", "log.requests"} {
 		if !slices.ContainsFunc(faults.Faults, func(f tomlfile.Fault) bool { return f.Key == key }) {
-			t.Errorf("no fault of %s in\n%v", key, err)
+			t.Errorf("no error about %s in\n%v", key, err)
 		}
 	}
 }
 
-func TestChangesThatNeedARestartAreNamed(t *testing.T) {
+func TestRestartNeededNamesChangedTables(t *testing.T) {
 	a, b := DefaultSettings(), DefaultSettings()
 	b.Store.Address = "192.0.2.1:80"
 	b.Log.Requests = LogAll
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := message{From: dispatch.PeerID(rapid.Uint64().Draw(t, "from")), Revision: platform.Revision(rapid.Uint64().Draw(t, "revision")), Leaving: rapid.Bool().Draw(t, "leaving"), HasFullRetryWindow: rapid.Bool().Draw(t, "seasoned")}
 		for range rapid.IntRange(0, maxEvents).Draw(t, "events") {
@@ -125,7 +125,7 @@
 	})
 }
 
-func TestASilentInstanceIsNotHandedOut(t *testing.T) {
+func TestDiscoveryOmitsSilentAndLeavingInstances(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := newMembers("self", "a", slog.New(slog.DiscardHandler))
 	put := func(id, zone string) *member {
@@ -152,22 +152,22 @@
 	if got := addresses(m.alive(later), "b"); len(got) != 5 {
 		t.Errorf("callers of a zone with one instance get %v", got)
 	}
-	// An instance that hears nobody cannot tell who is gone.
+	// An instance that gets no messages at all can't tell which others are gone.
 	if got := m.alive(later.Add(time.Hour)); len(got) != 6 {
-		t.Errorf("cut off: %d instances", len(got))
+		t.Errorf("isolated: %d instances are alive, want 6", len(got))
 	}
 }
 
-// The load that it answers: upstreams leave while one instance is cut off. If the others
-// followed the store meanwhile, it was not away, and what is missing has left.
-func TestWhatIsMissingAfterACutOfOneInstanceHasLeft(t *testing.T) {
+// Guards against use of upstreams that left while one instance could not reach the store. If others
+// got later revisions meanwhile, the store was available, and a missing registration was removed.
+func TestMissingUpstreamAfterOutageOfOneInstanceIsRemoved(t *testing.T) {
 	entry := []byte(`{"service":"s","address":"192.0.2.1:80","zone":"a","version":"v","capacity":4,"state":"ready","warmup_left":"0ms","sequence":1}`)
 	for name, tc := range map[string]struct {
 		othersAhead bool
 		kept        bool
 	}{
-		"the others went on":     {othersAhead: true, kept: false},
-		"the store was away too": {othersAhead: false, kept: true},
+		"others were ahead":  {othersAhead: true, kept: false},
+		"the store was down": {othersAhead: false, kept: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := DefaultSettings()
@@ -186,33 +186,34 @@
 			}
 			c.registry.expire(back.Add(2 * time.Second))
 			if len(c.registry.keys()) != 0 {
-				t.Error("still kept two seconds after the store's return")
+				t.Error("still kept two seconds after the store was available again")
 			}
 		})
 	}
 }
 
-// The store takes away the registration of an instance that has just joined and was not heard yet.
-func TestAnInstanceStaysWhileItIsHeardOrHasJustJoined(t *testing.T) {
+// Guards against dropping a live instance: the store removes the registration of one that has just
+// joined and not sent a message yet, or that still sends messages.
+func TestDeregisteredInstanceStaysWhileAliveOrJustJoined(t *testing.T) {
 	now := time.Unix(1000, 0)
 	value, err := cbor.Marshal(memberRecord{Peer: 7, Zone: "a", PeerAddr: netip.MustParseAddrPort("10.1.0.1:7540")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, tc := range map[string]struct {
-		heard, leaving bool
-		after          time.Duration
-		stays          bool
+		seen, leaving bool
+		after         time.Duration
+		stays         bool
 	}{
-		"just joined":         {false, false, silenceTimeout, true},
-		"joined, never heard": {false, false, silenceTimeout + time.Millisecond, false},
-		"heard":               {true, false, 2 * silenceTimeout, true},
-		"heard, leaving":      {true, true, 0, false},
+		"just joined":   {false, false, silenceTimeout, true},
+		"never seen":    {false, false, silenceTimeout + time.Millisecond, false},
+		"seen":          {true, false, 2 * silenceTimeout, true},
+		"seen, leaving": {true, true, 0, false},
 	} {
 		m := newMembers("self", "a", slog.New(slog.NewJSONHandler(io.Discard, nil)))
 		m.put(now, memberPrefix+"one", value)
 		at := now.Add(tc.after)
-		if tc.heard {
+		if tc.seen {
 			m.recordMessage(at, &message{From: 7, Leaving: tc.leaving})
 		}
 		m.remove(at, memberPrefix+"one")
@@ -221,12 +222,12 @@
 			t.Errorf("%s: stays %v", name, got)
 		}
 		if m.expire(at.Add(silenceTimeout + time.Millisecond)); len(m.byKey) != 0 {
-			t.Errorf("%s: stays though it is silent", name)
+			t.Errorf("%s: stays although it is silent", name)
 		}
 	}
 }
 
-func TestLogNeverBlocks(t *testing.T) {
+func TestLogWriterNeverBlocks(t *testing.T) {
 	r, w := io.Pipe()
 	l := newLogWriter(w)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
@@ -237,7 +238,7 @@
 		}
 	}
 	if l.dropped.Load() == 0 {
-		t.Errorf("%d bytes wait while nobody reads, bound %d", lines*len(line), logBufferBytes)
+		t.Errorf("no line dropped of %d bytes that nobody reads, bound %d", lines*len(line), logBufferBytes)
 	}
 	read := make(chan int)
 	go func() {
@@ -247,13 +248,13 @@
 	_ = l.Close()
 	_ = w.Close()
 	if got := <-read + int(l.dropped.Load()); got != lines {
-		t.Errorf("%d lines written or dropped, %d taken", got, lines)
+		t.Errorf("%d lines written or dropped, want %d", got, lines)
 	}
 }
 
-// fill fills in a template as the platform does: a value is JSON, and a section stands where
-// its value is given.
-func fill(template string, values map[string]string) string {
+// fillTemplate fills in a template as the platform does: values are JSON, and a section is kept only
+// if its value is given.
+func fillTemplate(template string, values map[string]string) string {
 	section := regexp.MustCompile(`\{\{#([a-z_.]+)\}\}(.*?)\{\{/[a-z_.]+\}\}`)
 	template = section.ReplaceAllStringFunc(template, func(found string) string {
 		parts := section.FindStringSubmatch(found)
@@ -272,9 +273,9 @@
 	})
 }
 
-// The template is what the platform fills in; its keys must be the daemon's, and a process
-// must start with any bound as a fraction or left out.
-func TestDeployTemplateMatchesTheSettings(t *testing.T) {
+// The platform fills in the template: its keys must match the settings, and a process must start
+// with any of the bounds as a fraction or omitted.
+func TestDeployTemplateMatchesSettings(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/settings.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -288,8 +289,8 @@
 		"bounds.retry_window": `"10s"`, "bounds.retry_budget_ratio": "0.25", "bounds.retry_extra": "62", "bounds.floor_share": "0.6",
 	}
 	maps.Copy(all, least)
-	broken := maps.Clone(all)
-	broken["bounds.retry_extra"], broken["bounds.retry_budget_ratio"], broken["bounds.floor_share"] = "20.476190476190474", "0", "1"
+	fractions := maps.Clone(all)
+	fractions["bounds.retry_extra"], fractions["bounds.retry_budget_ratio"], fractions["bounds.floor_share"] = "20.476190476190474", "0", "1"
 	for name, tc := range map[string]struct {
 		values map[string]string
 		retry  RetrySettings
@@ -298,10 +299,10 @@
 		link   float64
 	}{
 		"all":       {all, RetrySettings{Window: 10 * time.Second, Ratio: 0.25, Extra: 62}, 2500 * time.Millisecond, 0.6, 200},
-		"fractions": {broken, RetrySettings{Window: 10 * time.Second, Ratio: 0, Extra: 20.476190476190474}, 2500 * time.Millisecond, 1, 200},
+		"fractions": {fractions, RetrySettings{Window: 10 * time.Second, Ratio: 0, Extra: 20.476190476190474}, 2500 * time.Millisecond, 1, 200},
 		"least":     {least, DefaultSettings().Retry, DefaultSettings().Promises.DrainWithin, DefaultSettings().Place.FloorShare, 0},
 	} {
-		s, err := ParseSettings("settings.toml", []byte(fill(string(text), tc.values)))
+		s, err := ParseSettings("settings.toml", []byte(fillTemplate(string(text), tc.values)))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
