--- a/internal/gateway/apply.go
+++ b/internal/gateway/apply.go
@@ -61,6 +61,7 @@
 	c.registry.quiet, c.members.quiet = on, on
 }
 
+// finishUpdate records that the store's state up to a revision is applied, and publishes a snapshot.
 func (c *control) finishUpdate(now time.Time, at platform.Revision, changed bool) {
 	c.revision = max(c.revision, at)
 	c.knownRevision.Store(uint64(c.revision))
@@ -148,6 +149,7 @@
 	c.warnings = warnings
 }
 
+// applyUpstreams sets the endpoints that requests may be placed on.
 func (c *control) applyUpstreams(now time.Time) {
 	if c.config != nil {
 		c.machine.SetEndpoints(now, c.registry.endpoints(c.config))
@@ -155,6 +157,8 @@
 	}
 }
 
+// storeFailing reports whether a call of the store has failed within storeErrorWindow. For an
+// instance that doesn't follow the store, failures that followers report count too.
 func (c *control) storeFailing(now time.Time) bool {
 	return now.Sub(c.lastStoreError) < storeErrorWindow
 }
--- a/internal/gateway/broker.go
+++ b/internal/gateway/broker.go
@@ -29,8 +29,8 @@
 	zones   []string // Zones with instances. Endpoints in zones without any are divided among them.
 }
 
-// newBroker returns an empty broker state. The retry budget is divided among the zones, as each
-// has its own broker.
+// newBroker returns an empty broker state. The additional retries of the budget are divided among
+// the zones, as each has its own broker.
 func (c *control) newBroker(now time.Time) *brokerState {
 	cfg := c.dispatchConfig()
 	cfg.NoReports = true
@@ -103,9 +103,9 @@
 // declineOrForward forwards a request without a good endpoint here to a broker of another zone or
 // back to its home broker, or replies why it gets no endpoint.
 func (c *control) declineOrForward(now time.Time, msg placementRequest, r *dispatch.Rejection) {
-	tryRemote := r.Reason == dispatch.ScoreTooLow || r.Reason == dispatch.NoEndpoint || r.Reason == dispatch.Overloaded
+	tryOtherZone := r.Reason == dispatch.ScoreTooLow || r.Reason == dispatch.NoEndpoint || r.Reason == dispatch.Overloaded
 	switch {
-	case msg.Hops == hopLocal && tryRemote && msg.Flags&flagHedge == 0:
+	case msg.Hops == hopLocal && tryOtherZone && msg.Flags&flagHedge == 0:
 		msg.HomeBroker, msg.BestScore = c.peer, toPerMille(max(r.BestScore, 0))
 		if remote, ok := c.pickRemoteBroker(now, msg.Service); ok {
 			msg.Hops = hopRemote
@@ -117,7 +117,7 @@
 			c.handlePlacementRequest(now, msg)
 			return
 		}
-	case msg.Hops == hopRemote && tryRemote && msg.BestScore > 0:
+	case msg.Hops == hopRemote && tryOtherZone && msg.BestScore > 0:
 		msg.Hops = hopReturned
 		c.sendPlacementRequest(now, uint64(msg.HomeBroker), msg)
 		return
--- a/internal/gateway/broker_test.go
+++ b/internal/gateway/broker_test.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// Guards against applying a reply to the wrong request: it may arrive twice, or after the requester has
-// restarted and its sequence numbers have restarted, or name an endpoint of another service.
+// Guards against applying a reply to the wrong request: it may arrive twice, or after a restart of the
+// requester, which also restarts its sequence numbers, or name an endpoint of another service.
 func TestForeignPlacementReplyIsIgnored(t *testing.T) {
 	fleet, all := startBrokeredFleet(t, "aaa")
 	fleet.startUpstream("i-1", "orders")
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -59,8 +59,8 @@
 type control struct {
 	settings          *Settings
 	log               *slog.Logger
-	peer              dispatch.PeerID
-	self              memberRecord // This instance's registration.
+	peer              dispatch.PeerID // Incarnation of this instance, random at each start.
+	self              memberRecord    // This instance's registration.
 	socket            *peerSocket
 	relay             *relay
 	dropIdle          func() // Closes the idle connections to upstreams.
@@ -266,7 +266,7 @@
 		return
 	}
 	c.resendRequested, c.behindSince = false, time.Time{} // Alternates between the store and a follower: either may be unreachable.
-	c.log.Info("behind the other instances; reading the missed changes from the store", "revision", uint64(c.revision), "follows_itself", c.following)
+	c.log.Info("behind the other instances; reading the store", "revision", uint64(c.revision), "follows_itself", c.following)
 	c.requestResync(c.storeFailing(now))
 }
 
