--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -56,7 +56,7 @@
 // RetrySettings bound the retries of one service by all instances together.
 type RetrySettings struct {
 	Window time.Duration `toml:"window"`
-	Ratio  float64       `toml:"ratio"` // Of the requests in a window.
+	Ratio  float64       `toml:"ratio"` // Retries as a share of the requests in a window.
 	Extra  float64       `toml:"extra"` // Additional retries per window; a fraction is allowed.
 }
 
