--- /dev/null
+++ b/internal/gateway/apply.go
@@ -0,0 +1,164 @@
+package gateway
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/damaskcove/damaskcove/platform"
+)
+
+// applyFullRead applies a read of all keys of the store at a revision.
+func (c *control) applyFullRead(now time.Time, items []platform.Item, at platform.Revision) {
+	if c.synced && at < c.revision {
+		return // Later changes were forwarded during the read.
+	}
+	first := !c.synced
+	c.setQuiet(first)
+	present := make(map[string]bool, len(items))
+	changed := false
+	for _, item := range items {
+		present[item.Key] = true
+		changed = c.put(now, item) || changed
+	}
+	for _, key := range c.registry.keys() {
+		if !present[key] {
+			changed = c.handleMissing(now, key) || changed
+		}
+	}
+	for key := range c.members.byKey {
+		if !present[key] {
+			c.members.remove(now, key)
+		}
+	}
+	changed = c.registry.expire(now) || changed
+	c.synced = true
+	if first {
+		c.log.Info("first full read of the store done", "revision", uint64(at), "upstreams", len(c.registry.entries), "peers", len(c.members.byKey))
+	}
+	c.finishUpdate(now, at, changed)
+}
+
+// applyChanges applies changes of the store up to a revision.
+func (c *control) applyChanges(now time.Time, items []platform.Item, at platform.Revision) {
+	c.setQuiet(!c.shouldFollow.Load())
+	changed := false
+	for _, item := range items {
+		switch {
+		case item.Revision <= c.revision: // Applied before.
+		case item.Deleted:
+			changed = c.handleDeleted(now, item.Key) || changed
+		default:
+			changed = c.put(now, item) || changed
+		}
+	}
+	c.finishUpdate(now, at, changed)
+}
+
+// setQuiet sets whether changes of registrations go unlogged: those of the first read always do.
+// Later ones are logged by the followers of the store alone, so that a zone logs each once or twice.
+func (c *control) setQuiet(on bool) {
+	c.registry.quiet, c.members.quiet = on, on
+}
+
+// finishUpdate records that the store's state up to a revision is applied, and publishes a snapshot.
+func (c *control) finishUpdate(now time.Time, at platform.Revision, changed bool) {
+	c.revision = max(c.revision, at)
+	c.knownRevision.Store(uint64(c.revision))
+	c.upToDate.Store(true)
+	c.behindSince, c.firstBehind, c.resendRequested = time.Time{}, time.Time{}, false
+	if changed {
+		c.applyUpstreams(now)
+	}
+	c.publish(now)
+}
+
+// put applies a write of one key, and reports whether the endpoints changed.
+func (c *control) put(now time.Time, item platform.Item) bool {
+	switch {
+	case item.Key == platform.ConfigKey:
+		return c.applyConfig(item.Value)
+	case strings.HasPrefix(item.Key, platform.UpstreamPrefix):
+		return c.registry.put(now, item.Key, item.Value)
+	case strings.HasPrefix(item.Key, memberPrefix):
+		c.members.put(now, item.Key, item.Value)
+	}
+	return false
+}
+
+// handleMissing handles an upstream's registration that was missing in a full read, and reports
+// whether the endpoints changed. The registration may have expired in an outage of the store, whose
+// end is taken as the time when another instance was first ahead of this one, or else as now.
+func (c *control) handleMissing(now time.Time, key string) bool {
+	if !c.storeFailing(now) {
+		return c.registry.remove(key)
+	}
+	back := now
+	if !c.firstBehind.IsZero() {
+		back = c.firstBehind
+	}
+	return c.registry.markMissing(back, key)
+}
+
+// handleDeleted applies the deletion of one key, and reports whether the endpoints changed.
+func (c *control) handleDeleted(now time.Time, key string) bool {
+	switch {
+	case strings.HasPrefix(key, platform.UpstreamPrefix):
+		return c.registry.remove(key)
+	case key == c.members.self:
+		notify(c.deregistered)
+	case strings.HasPrefix(key, memberPrefix):
+		c.members.remove(now, key)
+	}
+	return false
+}
+
+// notify signals on a channel with a buffer of one, and does not block.
+func notify(c chan<- struct{}) {
+	select {
+	case c <- struct{}{}:
+	default:
+	}
+}
+
+// applyConfig puts a configuration in force if it is newer than the present one, and reports
+// whether it did.
+func (c *control) applyConfig(value []byte) bool {
+	next, err := platform.DecodeConfig(value)
+	if err != nil {
+		c.log.Error("invalid configuration; keeping the one in force", "error", err.Error())
+		return false
+	}
+	if c.config != nil && next.Version <= c.config.Version {
+		return false
+	}
+	c.config = next
+	c.logNewWarnings(next.Warnings)
+	c.log.Info("configuration in force", "version", next.Version.String(), "routes", len(next.Routes), "services", len(next.Services))
+	return true
+}
+
+// logNewWarnings logs the parts of the configuration that are not supported: each once, not again
+// with each version that still has it.
+func (c *control) logNewWarnings(warnings []string) {
+	for _, warning := range warnings {
+		if !slices.Contains(c.warnings, warning) {
+			c.log.Warn("part of the configuration is not supported", "note", warning)
+		}
+	}
+	c.warnings = warnings
+}
+
+// applyUpstreams sets the endpoints that requests may be placed on.
+func (c *control) applyUpstreams(now time.Time) {
+	if c.config != nil {
+		c.machine.SetEndpoints(now, c.registry.endpoints(c.config))
+		c.applyBrokerEndpoints(now)
+	}
+}
+
+// storeFailing reports whether a call of the store has failed within storeErrorWindow. For an
+// instance that doesn't follow the store, failures that followers report count too.
+func (c *control) storeFailing(now time.Time) bool {
+	return now.Sub(c.lastStoreError) < storeErrorWindow
+}
--- a/internal/gateway/side.go
+++ b/internal/gateway/auxserver.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	// sideTimeout bounds the reading and writing of one short request.
-	sideTimeout = 3 * time.Second
-	// sideIdle is how long a caller may keep such a connection.
-	sideIdle = 10 * time.Second
+	// auxTimeout bounds reading a request, and writing its response.
+	auxTimeout = 3 * time.Second
+	// auxIdleTimeout is how long an idle connection is kept open.
+	auxIdleTimeout = 10 * time.Second
 )
 
-// side is a listener for short requests about the instance itself.
-type side struct {
+// auxServer serves short requests about the instance itself: readiness, discovery or metrics.
+type auxServer struct {
 	listener net.Listener
 	server   *fasthttp.Server
 }
 
-func listenSide(addr string, handler fasthttp.RequestHandler) (*side, error) {
+func listenAux(addr string, handler fasthttp.RequestHandler) (*auxServer, error) {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	return &side{listener: listener, server: &fasthttp.Server{
+	return &auxServer{listener: listener, server: &fasthttp.Server{
 		Handler:               handler,
-		ReadTimeout:           sideTimeout,
-		WriteTimeout:          sideTimeout,
-		IdleTimeout:           sideIdle,
+		ReadTimeout:           auxTimeout,
+		WriteTimeout:          auxTimeout,
+		IdleTimeout:           auxIdleTimeout,
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
 	}}, nil
 }
 
-func (s *side) run() error {
+func (s *auxServer) run() error {
 	if err := s.server.Serve(s.listener); err != nil && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("serve on %s: %w", s.listener.Addr(), err)
 	}
 	return nil
 }
 
-func (s *side) close() error {
+func (s *auxServer) close() error {
 	return s.listener.Close()
 }
 
-// serveReady answers the platform's check.
+// serveReady serves the platform's readiness check.
 func (g *Gateway) serveReady(ctx *fasthttp.RequestCtx) {
 	switch {
 	case string(ctx.Path()) != platform.PathReadiness:
@@ -60,25 +60,25 @@
 	}
 }
 
-// serveDiscovery tells a caller where to connect.
+// serveDiscovery returns the addresses that a caller may connect to.
 func (g *Gateway) serveDiscovery(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != platform.PathDiscovery {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	asker := platform.ReadDiscoveryQuery(&ctx.Request)
-	list := g.addresses(asker.Zone)
+	query := platform.ReadDiscoveryQuery(&ctx.Request)
+	list := g.addresses(query.Zone)
 	if len(list) == 0 {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
 	if err := platform.WriteDiscovery(&ctx.Response, list, g.current().Promises.DiscoveryTTL); err != nil {
-		g.log.Error("discovery not answered", "error", err.Error())
+		g.log.Error("cannot write a discovery response; answering with status 500", "error", err.Error())
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 	}
 }
 
-// addresses returns where callers of a zone connect.
+// addresses returns the addresses for callers of a zone, this instance's own included while ready.
 func (g *Gateway) addresses(zone string) []string {
 	alive := g.control.snapshot.Load().alive
 	if g.ready() {
@@ -87,13 +87,13 @@
 	return addresses(alive, zone)
 }
 
-// serveMetrics writes the counters.
+// serveMetrics serves the metrics as text.
 func (g *Gateway) serveMetrics(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType("text/plain; charset=utf-8")
 	ctx.SetBodyString(g.metrics.text(g.gauges()))
 }
 
-// gauges returns what is counted or measured besides answers.
+// gauges returns the metrics other than those of answers, by name.
 func (g *Gateway) gauges() map[string]int64 {
 	counts := g.forwarder.Counts()
 	gauges := map[string]int64{
@@ -108,8 +108,8 @@
 		"ready":              boolGauge(g.ready()),
 		"control_commands":   int64(len(g.control.commands)),
 		"process_uptime_ms":  time.Since(g.started).Milliseconds(),
-		"broker_silent":      g.control.brokerSilent.Load(),
-		"follows_store":      boolGauge(g.control.onDuty.Load()),
+		"broker_silent":      g.control.brokerTimeouts.Load(),
+		"follows_store":      boolGauge(g.control.shouldFollow.Load()),
 	}
 	for kind, n := range g.store.Calls() {
 		gauges["store_calls_"+kind.String()] = n
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -15,13 +15,13 @@
 	"github.com/damaskcove/damaskcove/platform"
 )
 
-// largeFleet returns what the store holds of a fleet.
+// largeFleet returns the store's contents for a fleet.
 func largeFleet(b *testing.B, instances, upstreams int) []platform.Item {
 	b.Helper()
 	var items []platform.Item
 	for k := range instances {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(k % 5), byte(k / 250), byte(k % 250)}), 7540)
-		value, err := cbor.Marshal(memberRecord{Peer: dispatch.PeerID(k + 1), Zone: fmt.Sprint("zone-", k%5), Callers: "10.0.0.1:80", Peers: at, Link: 20})
+		value, err := cbor.Marshal(memberRecord{Peer: dispatch.PeerID(k + 1), Zone: fmt.Sprint("zone-", k%5), CallerAddr: "10.0.0.1:80", PeerAddr: at, LinkMbps: 20})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -35,7 +35,8 @@
 	return append(items, platform.Item{Key: platform.ConfigKey, Value: []byte(config), Revision: 1})
 }
 
-// BenchmarkFirstRead is the work of an instance of a large fleet until it is ready.
+// BenchmarkFirstRead measures the work of an instance of a large fleet from the store's response until
+// it is ready.
 func BenchmarkFirstRead(b *testing.B) {
 	items := largeFleet(b, 292, 1036)
 	reply, err := json.Marshal(map[string]any{"items": items, "at": 1})
@@ -53,7 +54,7 @@
 			b.Fatal(err)
 		}
 		c := newControl(&s, slog.New(slog.NewJSONHandler(io.Discard, nil)), &peerSocket{})
-		c.replace(time.Now(), got.Items, 1)
+		c.applyFullRead(time.Now(), got.Items, 1)
 		if c.snapshot.Load().router == nil {
 			b.Fatal("not ready")
 		}
--- a/internal/gateway/broker_test.go
+++ b/internal/gateway/broker_test.go
@@ -12,27 +12,28 @@
 	"github.com/damaskcove/damaskcove/coord/dispatch"
 )
 
-// startBrokered starts a fleet in which brokers place the requests.
-func startBrokered(t *testing.T, zones string) (*world, []*instance) {
+// startBrokeredFleet starts a fleet in which brokers place the requests: one instance for each letter
+// of zones, which names its zone.
+func startBrokeredFleet(t *testing.T, zones string) (*testFleet, []*instance) {
 	t.Helper()
-	w := newWorld(t)
-	w.brokersFrom = len(zones)
-	w.configure("h.example", "orders")
+	fleet := newTestFleet(t)
+	fleet.brokersFrom = len(zones)
+	fleet.configure("h.example", "orders")
 	var all []*instance
 	for k, zone := range zones {
 		id := fmt.Sprintf("edge-%c-%d", zone, k)
-		all = append(all, w.startInstance(id, string(zone)))
+		all = append(all, fleet.startInstance(id, string(zone)))
 	}
 	for _, in := range all {
-		eventually(t, "brokers are known", func() bool {
+		eventually(t, "every instance knows the others", func() bool {
 			known := make(chan bool, 1)
 			in.gateway.control.post(func() {
-				known <- in.gateway.control.brokered() && len(in.gateway.control.members.list) == len(zones)-1
+				known <- in.gateway.control.brokered() && len(in.gateway.control.members.byKey) == len(zones)-1
 			})
 			return <-known
 		})
 	}
-	return w, all
+	return fleet, all
 }
 
 // inControl runs a function on an instance's control loop.
@@ -42,96 +43,97 @@
 	return <-got
 }
 
-func TestEveryInstanceAsksTheSameBroker(t *testing.T) {
-	w, all := startBrokered(t, "aaaa")
-	u := w.startUpstream("i-1", "orders")
+func TestServiceHasOneBroker(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaaa")
+	u := fleet.startUpstream("i-1", "orders")
 	for _, in := range all {
-		eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
+		eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	}
-	desks, served := 0, u.requests.Load()
+	brokers, served := 0, u.requests.Load()
 	for _, in := range all {
-		if inControl(in, func(c *control) bool { return c.desk != nil }) {
-			desks++
+		if inControl(in, func(c *control) bool { return c.broker != nil }) {
+			brokers++
 		}
 	}
-	if desks != 1 {
-		t.Errorf("%d instances broker one service", desks)
+	if brokers != 1 {
+		t.Errorf("%d instances broker one service", brokers)
 	}
 	if served < int64(len(all)) {
 		t.Errorf("%d requests", served)
 	}
 	for _, in := range all {
-		eventually(t, "every grant is counted out", func() bool {
+		eventually(t, "all grants have ended", func() bool {
 			return inControl(in, func(c *control) bool {
-				return (c.desk == nil || c.desk.ledger.Len() == 0) && len(c.placing.granted) == 0 && len(c.placing.open) == 0
+				return (c.broker == nil || c.broker.grants.Len() == 0) && len(c.placement.grantedBy) == 0 && len(c.placement.pending) == 0
 			})
 		})
 	}
 }
 
-// The load that it answers: hundreds of instances ask the broker that has just died.
-func TestRequestsGoOnWhenTheBrokerDies(t *testing.T) {
-	w, all := startBrokered(t, "aaaa")
-	w.startUpstream("i-1", "orders")
+// Guards against requests that fail or hang when their service's broker dies.
+func TestRequestsSucceedWhenBrokerDies(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaaa")
+	fleet.startUpstream("i-1", "orders")
 	for _, in := range all {
-		eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
+		eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	}
-	var rest []*instance
+	var others []*instance
 	for _, in := range all {
-		if !inControl(in, func(c *control) bool { return c.desk != nil }) {
-			rest = append(rest, in)
+		if !inControl(in, func(c *control) bool { return c.broker != nil }) {
+			others = append(others, in)
 			continue
 		}
-		held := make(chan struct{})
-		t.Cleanup(func() { close(held) })
-		in.gateway.control.post(func() { <-held }) // It hears and says nothing more.
+		release := make(chan struct{})
+		t.Cleanup(func() { close(release) })
+		in.gateway.control.post(func() { <-release }) // Blocks its control loop, so that it no longer responds.
 	}
-	if len(rest) != len(all)-1 {
-		t.Fatalf("%d brokers", len(all)-len(rest))
+	if len(others) != len(all)-1 {
+		t.Fatalf("%d brokers, want 1", len(all)-len(others))
 	}
 	for range 5 {
-		for _, in := range rest {
-			if status, _, id := in.ask(t, "h.example", "/x"); status != http.StatusOK {
+		for _, in := range others {
+			if status, _, id := in.send(t, "h.example", "/x"); status != http.StatusOK {
 				t.Errorf("request %s: status %d", id, status)
 			}
 		}
 	}
 }
 
-// The load that it answers: the endpoints of a zone fail or leave, while other zones have room.
-func TestAZoneWithoutEndpointsIsServedByAnother(t *testing.T) {
-	w, all := startBrokered(t, "aaabbb")
-	u := w.startUpstream("i-1", "orders") // Of zone a.
+// Guards against rejecting the requests of a zone whose endpoints fail or drain while another zone
+// has capacity.
+func TestZoneWithoutEndpointsUsesAnotherZone(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaabbb")
+	u := fleet.startUpstream("i-1", "orders") // Of zone a.
 	for _, in := range all {
 		eventually(t, "served", func() bool {
-			status, body, _ := in.ask(t, "h.example", "/x")
+			status, body, _ := in.send(t, "h.example", "/x")
 			return status == http.StatusOK && body == u.id
 		})
 	}
-	silent := func() (n int64) {
+	timeouts := func() (n int64) {
 		for _, in := range all {
-			n += in.gateway.control.brokerSilent.Load()
+			n += in.gateway.control.brokerTimeouts.Load()
 		}
 		return n
 	}
-	before := silent()
+	before := timeouts()
 	for _, in := range all[3:] {
-		if status, _, id := in.ask(t, "h.example", "/x"); status != http.StatusOK {
+		if status, _, id := in.send(t, "h.example", "/x"); status != http.StatusOK {
 			t.Errorf("request %s of zone b: status %d", id, status)
 		}
 	}
-	if now := silent(); now != before {
-		t.Errorf("%d questions without an answer", now-before)
+	if now := timeouts(); now != before {
+		t.Errorf("%d placement requests timed out", now-before)
 	}
 }
 
-// The load that it answers: a broker is asked while every endpoint is full or failing. Each
-// question gets an answer, and no request is sent twice where it must not be.
-func TestEveryQuestionIsAnswered(t *testing.T) {
-	w, all := startBrokered(t, "aaabbb")
-	good, bad := w.startUpstream("i-good", "orders"), w.startUpstream("i-bad", "orders")
+// Guards against requests that hang or run twice while every endpoint is full or failing: each
+// placement request gets a reply, and an unsafe request is sent at most once.
+func TestEveryPlacementRequestIsAnswered(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaabbb")
+	good, bad := fleet.startUpstream("i-good", "orders"), fleet.startUpstream("i-bad", "orders")
 	bad.failing.Store(true)
-	eventually(t, "served", func() bool { status, _, _ := all[0].ask(t, "h.example", "/x"); return status == http.StatusOK })
+	eventually(t, "served", func() bool { status, _, _ := all[0].send(t, "h.example", "/x"); return status == http.StatusOK })
 	before := good.requests.Load() + bad.requests.Load()
 	const each = 20
 	var done sync.WaitGroup
@@ -140,7 +142,7 @@
 			done.Add(1)
 			go func() {
 				defer done.Done()
-				status, _, id := in.ask(t, "h.example", "/x")
+				status, _, id := in.send(t, "h.example", "/x")
 				if !slices.Contains([]int{http.StatusOK, http.StatusInternalServerError, http.StatusServiceUnavailable}, status) {
 					t.Errorf("request %s: status %d", id, status)
 				}
@@ -149,61 +151,62 @@
 	}
 	done.Wait()
 	if ran := good.requests.Load() + bad.requests.Load() - before; ran > int64(each*len(all)) {
-		t.Errorf("%d orders ran %d times", each*len(all), ran)
+		t.Errorf("%d requests ran %d times", each*len(all), ran)
 	}
 }
 
-// The load that it answers: a large zone, in which each instance would have to hear every other.
-func TestKeepersTellWhoIsThere(t *testing.T) {
-	_, all := startBrokered(t, "aaaaab")
+// Instances that aren't coordinators get no heartbeats from the others: they must learn from a
+// coordinator's report which instance is silent.
+func TestCoordinatorsReportSilentInstances(t *testing.T) {
+	_, all := startBrokeredFleet(t, "aaaaab")
 	last := all[4]
-	if inControl(last, func(c *control) bool { return c.keeps() }) {
-		t.Fatal("more than three keep")
+	if inControl(last, func(c *control) bool { return c.isCoordinator() }) {
+		t.Fatal("more than three coordinators")
 	}
 	eventually(t, "all are alive", func() bool { return len(last.gateway.control.snapshot.Load().alive) == len(all)-1 })
-	gone := all[3]
-	held := make(chan struct{})
-	t.Cleanup(func() { close(held) })
-	gone.gateway.control.post(func() { <-held })
-	eventually(t, "the silent one is left out", func() bool {
+	stopped := all[3]
+	release := make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	stopped.gateway.control.post(func() { <-release })
+	eventually(t, "the silent instance is not alive", func() bool {
 		return !slices.ContainsFunc(last.gateway.control.snapshot.Load().alive, func(e *member) bool { return strings.HasSuffix(e.key, "edge-a-3") })
 	})
 	if got := len(last.gateway.control.snapshot.Load().alive); got != len(all)-2 {
-		t.Errorf("%d are alive", got)
+		t.Errorf("%d instances are alive", got)
 	}
 }
 
-// A reply may come twice, late, or to an instance that has restarted and counts its questions
-// anew; and it may name an endpoint of another service.
-func TestOnlyItsOwnReplyIsTaken(t *testing.T) {
-	w, all := startBrokered(t, "aaa")
-	w.startUpstream("i-1", "orders")
+// Guards against applying a reply to the wrong request: it may arrive twice, or after a restart of the
+// requester, which also restarts its sequence numbers, or name an endpoint of another service.
+func TestForeignPlacementReplyIsIgnored(t *testing.T) {
+	fleet, all := startBrokeredFleet(t, "aaa")
+	fleet.startUpstream("i-1", "orders")
 	in := all[0]
-	eventually(t, "served", func() bool { status, _, _ := in.ask(t, "h.example", "/x"); return status == http.StatusOK })
+	eventually(t, "served", func() bool { status, _, _ := in.send(t, "h.example", "/x"); return status == http.StatusOK })
 	now := time.Now()
 	for name, tc := range map[string]struct {
 		service string
 		to      func(c *control) dispatch.PeerID
-		answers bool // The question gets an endpoint by this reply.
+		answers bool // The reply is applied, so the request gets its endpoint.
 	}{
-		"its own":         {"orders", func(c *control) dispatch.PeerID { return c.peer }, true},
-		"a former life's": {"orders", func(c *control) dispatch.PeerID { return c.peer + 1 }, false},
-		"another service": {"others", func(c *control) dispatch.PeerID { return c.peer }, false},
+		"its own":                  {"orders", func(c *control) dispatch.PeerID { return c.peer }, true},
+		"an earlier incarnation's": {"orders", func(c *control) dispatch.PeerID { return c.peer + 1 }, false},
+		"another service":          {"others", func(c *control) dispatch.PeerID { return c.peer }, false},
 	} {
-		answer := make(chan acquired, 1)
+		result := make(chan acquireResult, 1)
 		granted := inControl(in, func(c *control) int {
-			c.placing.seq++
-			ask := dispatch.Request{Service: tc.service, Objective: now.Add(time.Second), Deadline: now.Add(time.Second)}
-			c.placing.open[c.placing.seq] = &pending{ask: ask, answer: answer, timer: time.NewTimer(time.Hour)}
-			r := reply{Broker: 99, To: tc.to(c), Seq: c.placing.seq, Endpoint: endpointID("i-1")}
-			c.hearReply(now, r)
-			before := len(c.placing.granted)
-			c.hearReply(now, r) // Once more.
-			if len(c.placing.granted) != before {
-				t.Errorf("%s: the second reply counts", name)
+			c.placement.seq++
+			request := dispatch.Request{Service: tc.service, Objective: now.Add(time.Second), Deadline: now.Add(time.Second)}
+			c.placement.pending[c.placement.seq] = &pendingPlacement{request: request, result: result, timer: time.NewTimer(time.Hour)}
+			r := placementReply{Broker: 99, To: tc.to(c), Seq: c.placement.seq, Endpoint: endpointID("i-1")}
+			c.handlePlacementReply(now, r)
+			before := len(c.placement.grantedBy)
+			c.handlePlacementReply(now, r) // Duplicate.
+			if len(c.placement.grantedBy) != before {
+				t.Errorf("%s: the duplicate reply is applied", name)
 			}
-			delete(c.placing.granted, c.placing.seq)
-			delete(c.placing.open, c.placing.seq)
+			delete(c.placement.grantedBy, c.placement.seq)
+			delete(c.placement.pending, c.placement.seq)
 			return before
 		})
 		if (granted > 0) != tc.answers {
@@ -212,30 +215,30 @@
 	}
 }
 
-func TestQuestionsSurviveTheWire(t *testing.T) {
+func TestPlacementRequestRoundTrip(t *testing.T) {
 	now := time.Unix(1000, 0)
-	a := dispatch.Request{
+	req := dispatch.Request{
 		Service: "orders", Idempotent: true, Hedge: true, Objective: now.Add(-time.Second), Deadline: now.Add(2 * time.Second),
 		Tried: []dispatch.EndpointID{1, 1 << 31}, CrossZoneCost: 0.125,
 	}
-	data, err := encodeKind(brokerQuestion, questionOf(7, 9, now, a))
+	data, err := encodeKind(datagramPlacementRequest, newPlacementRequest(7, 9, now, req))
 	if err != nil {
 		t.Fatal(err)
 	}
-	q, err := decodeKind[question](data[1:])
+	msg, err := decodeKind[placementRequest](data[1:])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := q.ask(now); fmt.Sprint(got) != fmt.Sprint(a) || q.From != 7 || q.Seq != 9 {
-		t.Errorf("got %+v, want %+v", got, a)
+	if got := msg.request(now); fmt.Sprint(got) != fmt.Sprint(req) || msg.From != 7 || msg.Seq != 9 {
+		t.Errorf("got %+v, want %+v", got, req)
 	}
 	var many []dispatch.EndpointID
-	for k := range 4 * triedMost {
+	for k := range 4 * maxTried {
 		many = append(many, dispatch.EndpointID(1<<31+k))
 	}
-	a.Tried = many
-	a.Service = strings.Repeat("long", 50)
-	if data, err = encodeKind(brokerQuestion, questionOf(1<<63, 1<<63, now, a)); err != nil || len(data) > maxDatagramBytes {
+	req.Tried = many
+	req.Service = strings.Repeat("long", 50)
+	if data, err = encodeKind(datagramPlacementRequest, newPlacementRequest(1<<63, 1<<63, now, req)); err != nil || len(data) > maxDatagramBytes {
 		t.Errorf("%d bytes, %v", len(data), err)
 	}
 }
--- /dev/null
+++ b/internal/gateway/follower.go
@@ -0,0 +1,313 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"sync"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"github.com/damaskcove/damaskcove/platform"
+)
+
+const (
+	// readTimeout is many times the store's typical response time of 4 ms, and less than the 2 s in
+	// which changes must take effect.
+	readTimeout = time.Second
+	// watchWait is how long a watch waits for a change. Keep-alives detect a dead connection sooner.
+	watchWait = 25 * time.Second
+	// batchDelayDivisor is the fraction of the time in which a change must take effect that is spent
+	// on batching changes into one call.
+	batchDelayDivisor = 4
+	// initialRetryDelay and maxRetryDelay bound the delay after a failed call; it doubles.
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = 400 * time.Millisecond
+	// maxIdleRetryDelay replaces maxRetryDelay for an instance that isn't a preferred follower.
+	maxIdleRetryDelay = 1600 * time.Millisecond
+	// missedWatchWait is how long a watch for missed changes waits: they are in the store already.
+	missedWatchWait = 20 * time.Millisecond
+	// firstStartWait delays the first read of the store when the whole fleet starts for the first
+	// time: by then all instances have registered, and one read returns them all.
+	firstStartWait = 1200 * time.Millisecond
+	// leaseTTL is how long after its last renewal an instance's registration expires. Missing
+	// heartbeats show sooner that it is gone.
+	leaseTTL = 30 * time.Second
+	// leaseRenewal is the renewal interval. It leaves time for a second attempt before the lease
+	// expires; a shorter one would cost the store more calls.
+	leaseRenewal = 12 * time.Second
+)
+
+// allKeys is the prefix of all keys: one watch covers everything that an instance follows.
+const allKeys = ""
+
+// follower keeps the control loop up to date with the platform's store.
+type follower struct {
+	store      *platform.Store
+	control    *control
+	log        *slog.Logger
+	health     *storeHealth
+	batchDelay func() time.Duration // Delay after a change, before the next watch.
+	wait       time.Duration        // Delay before the first read.
+}
+
+// storeHealth tracks whether the store answers the calls of the follower and the registrar.
+type storeHealth struct {
+	log     *slog.Logger
+	control *control
+
+	mu           sync.Mutex
+	failingSince time.Time // Time of the first failed call; zero while the store answers.
+}
+
+// record records the outcome of a call. recovered reports whether it is the first success after
+// failures.
+func (r *storeHealth) record(err error) (recovered bool) {
+	if err != nil {
+		r.control.post(func() { r.control.lastStoreError = time.Now() })
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch {
+	case err != nil && r.failingSince.IsZero():
+		r.failingSince = time.Now()
+		r.log.Warn("store unavailable; serving with the last known state", "error", err.Error())
+	case err == nil && !r.failingSince.IsZero():
+		r.log.Info("store available again", "after_ms", time.Since(r.failingSince).Milliseconds())
+		r.failingSince = time.Time{}
+		return true
+	}
+	return false
+}
+
+// run keeps the control loop up to date until ctx ends.
+func (f *follower) run(ctx context.Context) {
+	delayAfterError := initialRetryDelay
+	var at platform.Revision
+	sleep(ctx, f.wait)
+	synced, answered := false, false // answered: the store has answered since this instance began to follow it.
+	for ctx.Err() == nil {
+		at = max(at, platform.Revision(f.control.knownRevision.Load()))
+		var err error
+		delay := time.Duration(0)
+		switch {
+		case !synced && (f.control.shouldFollow.Load() || !f.control.upToDate.Load()):
+			at, err = f.readAll(ctx)
+			delay = f.batchDelay()
+		case f.control.shouldFollow.Load() && !answered:
+			at, err = f.readMissed(ctx, at)
+		case f.control.shouldFollow.Load():
+			at, err = f.watch(ctx, at)
+		default:
+			at, err = f.awaitChanges(ctx, at)
+		}
+		// A watch that was cut off may have missed changes, even if the store's history has no gap.
+		synced, answered = err == nil || errors.Is(err, errFollowChanged), err == nil
+		switch {
+		case errors.Is(err, errFollowChanged), errors.Is(err, errResync):
+			continue
+		case errors.Is(err, platform.ErrCompacted):
+			f.log.Warn("store has compacted its history after this revision; rereading all keys", "after", uint64(at))
+			continue
+		}
+		f.control.post(func() { f.control.setFollowing(err == nil) })
+		if f.health.record(err); err == nil {
+			delayAfterError = initialRetryDelay
+			sleep(ctx, delay)
+			continue
+		}
+		sleep(ctx, delayAfterError)
+		delayAfterError = min(2*delayAfterError, f.retryDelayLimit())
+	}
+}
+
+// retryDelayLimit returns the longest delay after a failed call. Instances that aren't preferred
+// followers retry less often, to spare a store that rejects all calls.
+func (f *follower) retryDelayLimit() time.Duration {
+	if f.control.preferredFollower.Load() {
+		return maxRetryDelay
+	}
+	return maxIdleRetryDelay
+}
+
+// readAll reads all keys and posts them to the control loop.
+func (f *follower) readAll(ctx context.Context) (platform.Revision, error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	requestedAt := time.Now()
+	items, at, err := f.store.Range(ctx, allKeys)
+	if err != nil {
+		return 0, err
+	}
+	f.control.post(func() {
+		f.control.pause.Refreshed(requestedAt)
+		f.control.applyFullRead(time.Now(), items, at)
+	})
+	return at, nil
+}
+
+var (
+	errResync        = errors.New("a resync of the store was requested")
+	errFollowChanged = errors.New("role as a follower of the store changed")
+)
+
+// watch waits for changes after a revision and delivers them.
+func (f *follower) watch(ctx context.Context, after platform.Revision) (platform.Revision, error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	ended := make(chan struct{})
+	defer close(ended)
+	go func() {
+		select {
+		case <-f.control.resync:
+			cancel(errResync)
+		case <-f.control.followChanged:
+			cancel(errFollowChanged)
+		case <-ended:
+		}
+	}()
+	items, at, err := f.store.Watch(ctx, allKeys, after, watchWait)
+	if err != nil {
+		if cause := context.Cause(ctx); errors.Is(cause, errResync) || errors.Is(cause, errFollowChanged) {
+			return after, cause
+		}
+		return after, err
+	}
+	if len(items) > 0 {
+		f.deliver(items, after, at)
+		sleep(ctx, f.batchDelay())
+	}
+	return max(after, at), nil
+}
+
+// deliver posts changes to the control loop, which forwards them to the zone if this instance is
+// to follow the store.
+func (f *follower) deliver(items []platform.Item, after, at platform.Revision) {
+	f.control.post(func() {
+		if f.control.shouldFollow.Load() {
+			f.control.forwardChanges(items, after, at)
+		}
+		f.control.applyChanges(time.Now(), items, at)
+	})
+}
+
+// awaitChanges waits while followers forward the store's changes to this instance. When some are
+// missing, it reads them from the store.
+func (f *follower) awaitChanges(ctx context.Context, after platform.Revision) (platform.Revision, error) {
+	select {
+	case <-ctx.Done():
+		return after, errFollowChanged
+	case <-f.control.followChanged:
+		return after, errFollowChanged
+	case full := <-f.control.resync:
+		if full {
+			return after, errResync
+		}
+	}
+	return f.readMissed(ctx, max(after, platform.Revision(f.control.knownRevision.Load())))
+}
+
+// readMissed reads the changes after a revision that are in the store already.
+func (f *follower) readMissed(ctx context.Context, after platform.Revision) (platform.Revision, error) {
+	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	items, at, err := f.store.Watch(readCtx, allKeys, after, missedWatchWait)
+	if err != nil {
+		return after, err
+	}
+	f.deliver(items, after, at)
+	return max(after, at), nil
+}
+
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
+
+// registrar keeps the instance's registration in the platform's store.
+type registrar struct {
+	store        *platform.Store
+	key          string
+	record       memberRecord
+	log          *slog.Logger
+	health       *storeHealth
+	deregistered chan struct{} // Signaled when the registration was removed.
+}
+
+// run registers the instance and renews its lease until ctx ends. Then it ends the lease.
+func (r *registrar) run(ctx context.Context) {
+	var lease platform.Lease
+	for ctx.Err() == nil {
+		var err error
+		if lease == 0 {
+			lease, err = r.register(ctx)
+		} else {
+			err = r.renew(ctx, lease)
+		}
+		wait := leaseRenewal
+		switch {
+		case ctx.Err() != nil:
+			continue
+		case errors.Is(err, platform.ErrLeaseEnded):
+			r.log.Warn("registration lease expired; registering again", "lease", uint64(lease))
+			lease, wait = 0, 0
+		case err != nil:
+			wait = maxRetryDelay
+			r.health.record(err)
+		case r.health.record(nil):
+			// A watch that was started while the store didn't respond may wait forever.
+			r.health.control.requestResync(true)
+		}
+		r.wait(ctx, wait, &lease)
+	}
+	if lease == 0 {
+		return
+	}
+	end, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
+	defer cancel()
+	if err := r.store.EndLease(end, lease); err != nil {
+		r.log.Warn("cannot end the registration lease; the registration expires with it", "error", err.Error())
+	}
+}
+
+// wait waits for d, or until the registration is removed: it then resets the lease, so that run
+// registers again at once.
+func (r *registrar) wait(ctx context.Context, d time.Duration, lease *platform.Lease) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	case <-r.deregistered:
+		*lease = 0
+	}
+}
+
+func (r *registrar) register(ctx context.Context) (platform.Lease, error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	value, err := cbor.Marshal(r.record)
+	if err != nil {
+		return 0, err
+	}
+	lease, _, err := r.store.GrantLease(ctx, leaseTTL)
+	if err != nil {
+		return 0, err
+	}
+	if _, err := r.store.Commit(ctx, platform.Txn{Writes: []platform.Write{{Key: r.key, Value: value, Lease: lease}}}); err != nil {
+		return 0, err
+	}
+	return lease, nil
+}
+
+func (r *registrar) renew(ctx context.Context, lease platform.Lease) error {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	return r.store.RenewLease(ctx, lease)
+}
