--- a/cmd/damaskctl/apply.go
+++ b/cmd/damaskctl/apply.go
@@ -87,7 +87,7 @@
 	if err != nil || !f.wait {
 		return err
 	}
-	live, err := query.Follow(ctx, clients, revisionOf(accepted))
+	live, err := query.WaitForRevision(ctx, clients, revisionOf(accepted))
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	change := edit.Between(base, wanted)
+	change := edit.ChangeBetween(base, wanted)
 	change.Author = f.author
 	writeDifferences(w, "changes", rollout.Diff(base, wanted), f.all)
 	if change.Empty() {
--- a/cmd/damaskctl/apply_test.go
+++ b/cmd/damaskctl/apply_test.go
@@ -168,8 +168,8 @@
 			w.WriteHeader(http.StatusUnauthorized)
 			return
 		}
-		if r.URL.Path == api.PathInForce {
-			_ = json.NewEncoder(w).Encode(api.InForce{Self: self.Ref, Revision: revision})
+		if r.URL.Path == api.PathActiveConfig {
+			_ = json.NewEncoder(w).Encode(api.ActiveConfig{Self: self.Ref, Revision: revision})
 			return
 		}
 		status := api.Status{Fleet: "qalqan", Self: self, Phase: api.PhaseServing, Revision: revision}
--- a/cmd/damaskctl/explain.go
+++ b/cmd/damaskctl/explain.go
@@ -59,7 +59,7 @@
 	for i, instance := range e.Entries {
 		_, _ = fmt.Fprintf(t, "entry %d\t%v at %s in zone %s\n", i+1, instance.Ref, instance.EntryAddr, instance.Zone)
 	}
-	_, _ = fmt.Fprintf(t, "carried here\t%v\n", e.Here)
+	_, _ = fmt.Fprintf(t, "carried here\t%v\n", e.CarriedHere)
 	writeEndpoints(t, string(e.Service), e.Endpoints)
 	return t.Flush()
 }
--- a/cmd/damaskctl/fail.go
+++ b/cmd/damaskctl/fail.go
@@ -70,7 +70,7 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	var faults *tomlfile.Error
+	var faults *tomlfile.ValidationError
 	switch {
 	case errors.As(err, &faults), errors.Is(err, rollout.ErrInvalid):
 		return &failure{exit: exitFaults, code: result.CodeConfigFault, err: err}
--- a/cmd/damaskctl/standin_listing.go
+++ b/cmd/damaskctl/standin_listing.go
@@ -66,14 +66,14 @@
 
 func address(c *tomlfile.Collector, key, text string) {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		c.Add(key, tomlfile.Show(text), "must be an IP number and port; names are not taken")
+		c.Add(key, tomlfile.FormatValue(text), "must be an IP number and port; names are not taken")
 	}
 }
 
 func loopback(c *tomlfile.Collector, key, text string) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil || !addr.Addr().IsLoopback() {
-		c.Add(key, tomlfile.Show(text), `must be a loopback IP number and port, as "127.0.0.1:7070"`)
+		c.Add(key, tomlfile.FormatValue(text), `must be a loopback IP number and port, as "127.0.0.1:7070"`)
 	}
 }
 
--- a/cmd/damaskctl/status.go
+++ b/cmd/damaskctl/status.go
@@ -64,11 +64,11 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "\nmember\tzone\tstatus\trevision\tlinked")
 	for _, m := range s.Members {
-		_, _ = fmt.Fprintf(t, "%v\t%s\t%s\t%d\t%v\n", m.Instance.Ref, m.Instance.Zone, m.Status, m.Revision, m.Linked)
+		_, _ = fmt.Fprintf(t, "%v\t%s\t%s\t%d\t%v\n", m.Instance.Ref, m.Instance.Zone, m.Status, m.Revision, m.Connected)
 	}
 	_, _ = fmt.Fprintln(t, "\nservice\tcarried\tjudge\tcarriers\tready slots\tfloor\tin flight\tqueued")
 	for _, service := range s.Services {
-		_, _ = fmt.Fprintf(t, "%s\t%v\t%v\t%d\t%d\t%d\t%d\t%d\n", service.Name, service.Carried, service.Judge,
+		_, _ = fmt.Fprintf(t, "%s\t%v\t%v\t%d\t%d\t%d\t%d\t%d\n", service.Name, service.Carried, service.Evaluator,
 			len(service.Carriers), service.ReadySlots, service.FloorSlots, service.InFlight, service.Queued)
 	}
 	for _, service := range s.Services {
@@ -91,6 +91,6 @@
 			back = e.MayReturn.Format("15:04:05.000")
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%.1f\t%.1f\t%v\t%s\t%s\t%v\n", e.Upstream.Endpoint, e.Upstream.Zone, e.State,
-			e.Upstream.Slots, e.SlotShare, e.InFlight, e.Score, e.Limit, e.Judge, until, back, e.AtFloor)
+			e.Upstream.Slots, e.SlotShare, e.InFlight, e.Score, e.Limit, e.Evaluator, until, back, e.AtFloor)
 	}
 }
--- a/cmd/damaskgate/main.go
+++ b/cmd/damaskgate/main.go
@@ -36,7 +36,7 @@
 }
 
 func exitStatus(err error) int {
-	var settings *tomlfile.Error
+	var settings *tomlfile.ValidationError
 	switch {
 	case errors.As(err, &settings):
 		return exitSettings
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -27,8 +27,8 @@
 // baseMode is the mode of base files.
 const baseMode = 0o600
 
-// Between returns the change that leads from base to wanted. base may be nil.
-func Between(base, wanted *rollout.Config) rollout.Change {
+// ChangeBetween returns the change that leads from base to wanted. base may be nil.
+func ChangeBetween(base, wanted *rollout.Config) rollout.Change {
 	if base == nil {
 		base = &rollout.Config{}
 	}
--- a/internal/edit/edit_test.go
+++ b/internal/edit/edit_test.go
@@ -32,7 +32,7 @@
 func TestChangeLeadsToTheTemplatesAndLeavesOthersAlone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		base, wanted, others := drawConfig(rt, "base "), drawConfig(rt, "wanted "), drawConfig(rt, "others ")
-		change := Between(base, wanted)
+		change := ChangeBetween(base, wanted)
 		if left := rollout.Diff(base.With(change, 1), wanted); len(left) > 0 {
 			rt.Fatalf("left after the change: %v", left)
 		}
--- a/internal/gateway/parts_test.go
+++ b/internal/gateway/parts_test.go
@@ -66,12 +66,12 @@
 [log]
 requests = "some"
 `))
-	var faults *tomlfile.Error
+	var faults *tomlfile.ValidationError
 	if !errors.As(err, &faults) {
 		t.Fatalf("got %v", err)
 	}
 	for _, key := range []string{"instance.id", "instance.link_mbps", "instance.colour", "listen.callers", "listen.ready", "store.address", "retry.ratio", "place.floor_share", "promises.drain_within", "log.requests"} {
-		if !slices.ContainsFunc(faults.Faults, func(f tomlfile.Fault) bool { return f.Key == key }) {
+		if !slices.ContainsFunc(faults.Fields, func(f tomlfile.FieldError) bool { return f.Key == key }) {
 			t.Errorf("no fault of %s in\n%v", key, err)
 		}
 	}
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -90,14 +90,14 @@
 // maxSettingsBytes bounds a settings file.
 const maxSettingsBytes = 64 << 10
 
-// LoadSettings reads a settings file. The error is a *tomlfile.Error that lists every fault.
+// LoadSettings reads a settings file. The error is a *tomlfile.ValidationError that lists every fault.
 func LoadSettings(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err == nil && len(data) > maxSettingsBytes {
 		err = fmt.Errorf("%d bytes, at most %d", len(data), maxSettingsBytes)
 	}
 	if err != nil {
-		return nil, &tomlfile.Error{Faults: []tomlfile.Fault{{File: path, Problem: err.Error()}}}
+		return nil, &tomlfile.ValidationError{Fields: []tomlfile.FieldError{{File: path, Problem: err.Error()}}}
 	}
 	return ParseSettings(path, data)
 }
@@ -134,19 +134,19 @@
 	checkTime(c, "promises.discovery_ttl", s.Promises.DiscoveryTTL)
 	checkTime(c, "retry.window", s.Retry.Window)
 	if s.Retry.Ratio < 0 || s.Retry.Ratio > 1 {
-		c.Add("retry.ratio", tomlfile.Show(s.Retry.Ratio), "must be from 0 to 1")
+		c.Add("retry.ratio", tomlfile.FormatValue(s.Retry.Ratio), "must be from 0 to 1")
 	}
 	if s.Retry.Extra < 0 {
-		c.Add("retry.extra", tomlfile.Show(s.Retry.Extra), "must not be negative")
+		c.Add("retry.extra", tomlfile.FormatValue(s.Retry.Extra), "must not be negative")
 	}
 	if s.Instance.Link < 0 {
-		c.Add("instance.link_mbps", tomlfile.Show(s.Instance.Link), "must not be negative")
+		c.Add("instance.link_mbps", tomlfile.FormatValue(s.Instance.Link), "must not be negative")
 	}
 	if s.Place.FloorShare < 0 || s.Place.FloorShare > 1 {
-		c.Add("place.floor_share", tomlfile.Show(s.Place.FloorShare), "must be from 0 to 1")
+		c.Add("place.floor_share", tomlfile.FormatValue(s.Place.FloorShare), "must be from 0 to 1")
 	}
 	if s.Place.BrokersFrom < 1 {
-		c.Add("place.brokers_from", tomlfile.Show(s.Place.BrokersFrom), "must be at least 1")
+		c.Add("place.brokers_from", tomlfile.FormatValue(s.Place.BrokersFrom), "must be at least 1")
 	}
 	if s.Log.Requests != LogAll && s.Log.Requests != LogUnserved {
 		c.Add("log.requests", s.Log.Requests, "must be %q or %q", LogAll, LogUnserved)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -31,10 +31,10 @@
 	}
 	for _, m := range snapshot.Members {
 		s.Members = append(s.Members, api.Member{
-			Instance: m.Instance,
-			Status:   statusName(m.Status),
-			Revision: n.revisionOf(m),
-			Linked:   n.links.Up(m.Instance.Ref),
+			Instance:  m.Instance,
+			Status:    statusName(m.Status),
+			Revision:  n.revisionOf(m),
+			Connected: n.links.Up(m.Instance.Ref),
 		})
 	}
 	for _, service := range n.endpoints.Status().Services {
@@ -100,10 +100,10 @@
 	out := api.Service{
 		Name:       s.Service,
 		Carried:    s.Carrying,
-		Judge:      s.Judge,
+		Evaluator:  s.Judge,
 		FloorSlots: s.FloorSlots,
 		ReadySlots: s.ReadySlots,
-		Budget:     api.Budget{Total: max(0, s.ReadySlots-s.FloorSlots), Held: s.BudgetSlots, Heard: s.HeardCarriers, Carriers: s.Carriers},
+		Budget:     api.Budget{Total: max(0, s.ReadySlots-s.FloorSlots), Held: s.BudgetSlots, ReachableCarriers: s.HeardCarriers, Carriers: s.Carriers},
 	}
 	for _, in := range n.carriers(s.Service) {
 		out.Carriers = append(out.Carriers, in.Ref)
@@ -125,7 +125,7 @@
 	return api.EndpointView{
 		Upstream:  fleet.Upstream{Endpoint: e.Endpoint, Zone: e.Zone, Slots: e.Slots, State: e.Listed},
 		State:     state,
-		Judge:     e.Evaluator,
+		Evaluator: e.Evaluator,
 		Score:     e.Score,
 		Limit:     e.Limit,
 		Until:     e.Until,
@@ -168,7 +168,7 @@
 		return
 	}
 	x.Entries = m.Entries(x.Service, x.Account, n.self.Zone, f.CarriersPerService, f.EntriesPerAnswer)
-	x.Here = contains(n.carriers(x.Service), n.self.Ref)
+	x.CarriedHere = contains(n.carriers(x.Service), n.self.Ref)
 	x.Home, x.Witness, _ = m.HomeAndWitnessNear(x.Service, x.Account, n.self.Zone, f.CarriersPerService)
 }
 
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -49,9 +49,9 @@
 
 // Accepted says how a change was accepted.
 type Accepted struct {
-	Revision fleet.Revision
-	Config   *rollout.Config // After the change.
-	Before   bool            // It had been accepted by an earlier call.
+	Revision        fleet.Revision
+	Config          *rollout.Config // After the change.
+	AlreadyAccepted bool            // It had been accepted by an earlier call.
 }
 
 // retryMin and retryMax bound the time before a failed call of the store is repeated.
@@ -130,7 +130,7 @@
 		return Accepted{}, nil, err
 	}
 	if r, ok := state.head.RevisionOf(change.ID); ok {
-		return Accepted{Revision: r, Config: state.config, Before: true}, state.config, nil
+		return Accepted{Revision: r, Config: state.config, AlreadyAccepted: true}, state.config, nil
 	}
 	if err := conflict(base, state.config, change); err != nil {
 		return Accepted{}, state.config, err
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -55,7 +55,7 @@
 	if c := load(t, store); c.Revision != 2 || accepted.Revision != 2 || len(rollout.Diff(c, accepted.Config)) != 0 {
 		t.Fatalf("revision %d, accepted %d", c.Revision, accepted.Revision)
 	}
-	if again := apply(t, store, nil, put(service("s", 2)), "two"); !again.Before || again.Revision != 2 {
+	if again := apply(t, store, nil, put(service("s", 2)), "two"); !again.AlreadyAccepted || again.Revision != 2 {
 		t.Fatalf("the same change was accepted again: %+v", again)
 	}
 }
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -10,11 +10,11 @@
 
 // Paths of the operator endpoints. All are read with GET.
 const (
-	PathHealth  = "/health"   // 200 when the instance serves, 503 before and while it stops; no token needed.
-	PathStatus  = "/status"   // Status.
-	PathExplain = "/explain"  // Explanation; parameters as below.
-	PathMetrics = "/metrics"  // The expvar variables.
-	PathInForce = "/in-force" // InForce: the part of Status that a rollout is followed by.
+	PathHealth       = "/health"   // 200 when the instance serves, 503 before and while it stops; no token needed.
+	PathStatus       = "/status"   // Status.
+	PathExplain      = "/explain"  // Explanation; parameters as below.
+	PathMetrics      = "/metrics"  // The expvar variables.
+	PathActiveConfig = "/in-force" // ActiveConfig: the part of Status that shows the progress of a rollout.
 )
 
 // Query parameters of PathExplain.
@@ -50,8 +50,8 @@
 	InFlight   int64          `json:"in_flight"` // Requests of callers not answered yet.
 }
 
-// InForce is the answer at PathInForce.
-type InForce struct {
+// ActiveConfig is the answer at PathActiveConfig.
+type ActiveConfig struct {
 	Self     fleet.Ref      `json:"self"`
 	Phase    Phase          `json:"phase"`
 	Revision fleet.Revision `json:"revision"` // Configuration in force; 0 before the first.
@@ -59,17 +59,17 @@
 
 // Member is one instance as this one sees it.
 type Member struct {
-	Instance fleet.Instance `json:"instance"`
-	Status   string         `json:"status"`   // "alive", "suspect", "leaving" or "dead".
-	Revision fleet.Revision `json:"revision"` // As last heard; 0 unless the two exchange heartbeats.
-	Linked   bool           `json:"linked"`   // A peer link is up.
+	Instance  fleet.Instance `json:"instance"`
+	Status    string         `json:"status"`   // "alive", "suspect", "leaving" or "dead".
+	Revision  fleet.Revision `json:"revision"` // As last heard; 0 unless the two exchange heartbeats.
+	Connected bool           `json:"linked"`   // A peer link is up.
 }
 
 // Service is one service as this instance sees it.
 type Service struct {
 	Name       fleet.Service  `json:"name"`
 	Carried    bool           `json:"carried"` // This instance routes to its endpoints.
-	Judge      fleet.Ref      `json:"judge"`
+	Evaluator  fleet.Ref      `json:"judge"`
 	Carriers   []fleet.Ref    `json:"carriers"`
 	FloorSlots int            `json:"floor_slots"`
 	ReadySlots int            `json:"ready_slots"` // Slots of ready endpoints in this instance's view.
@@ -81,18 +81,18 @@
 
 // Budget is a judge's ejection budget, in slots.
 type Budget struct {
-	Total    int `json:"total"` // Ready slots less the floor.
-	Held     int `json:"held"`  // What the judge may hold with the carriers heard.
-	Used     int `json:"used"`
-	Heard    int `json:"heard"`    // Carriers heard.
-	Carriers int `json:"carriers"` // Carriers in the roster.
+	Total             int `json:"total"` // Ready slots less the floor.
+	Held              int `json:"held"`  // What the judge may hold with the carriers heard.
+	Used              int `json:"used"`
+	ReachableCarriers int `json:"heard"`    // Carriers heard.
+	Carriers          int `json:"carriers"` // Carriers in the roster.
 }
 
 // EndpointView is one endpoint with what led to its state.
 type EndpointView struct {
 	Upstream  fleet.Upstream `json:"upstream"`
 	State     string         `json:"state"` // "open", "ejected", "avoided", "trial", "cold" or "leaving".
-	Judge     fleet.Ref      `json:"judge"`
+	Evaluator fleet.Ref      `json:"judge"`
 	Score     float64        `json:"score"` // Of the detector, in nats.
 	Limit     float64        `json:"limit"` // Score at which it is ejected, in nats.
 	Until     time.Time      `json:"until"`
@@ -111,21 +111,21 @@
 
 // Explanation is the answer at PathExplain: where a request would go and why.
 type Explanation struct {
-	Method     string           `json:"method"`
-	Path       string           `json:"path"`
-	Account    fleet.Account    `json:"account"`
-	Revision   fleet.Revision   `json:"revision"`
-	Code       result.Code      `json:"code"` // CodeAnswered when the request would be routed.
-	Reason     string           `json:"reason"`
-	Service    fleet.Service    `json:"service"`
-	Route      string           `json:"route"` // Method and path prefix of the route.
-	Idempotent bool             `json:"idempotent"`
-	Deadline   time.Duration    `json:"deadline"`
-	Entries    []fleet.Instance `json:"entries"` // What discovery would hand out.
-	Home       fleet.Instance   `json:"home"`
-	Witness    fleet.Instance   `json:"witness"`
-	Here       bool             `json:"here"` // This instance carries the service.
-	Endpoints  []EndpointView   `json:"endpoints"`
+	Method      string           `json:"method"`
+	Path        string           `json:"path"`
+	Account     fleet.Account    `json:"account"`
+	Revision    fleet.Revision   `json:"revision"`
+	Code        result.Code      `json:"code"` // CodeAnswered when the request would be routed.
+	Reason      string           `json:"reason"`
+	Service     fleet.Service    `json:"service"`
+	Route       string           `json:"route"` // Method and path prefix of the route.
+	Idempotent  bool             `json:"idempotent"`
+	Deadline    time.Duration    `json:"deadline"`
+	Entries     []fleet.Instance `json:"entries"` // What discovery would hand out.
+	Home        fleet.Instance   `json:"home"`
+	Witness     fleet.Instance   `json:"witness"`
+	CarriedHere bool             `json:"here"` // This instance carries the service.
+	Endpoints   []EndpointView   `json:"endpoints"`
 }
 
 // StateName returns the word for a state of the health duty.
--- a/internal/operator/query/follow.go
+++ b/internal/operator/query/follow.go
@@ -29,8 +29,8 @@
 // ErrBehind is what a BehindError wraps.
 var ErrBehind = errors.New("instances are behind")
 
-// Lag is a live instance that has not reported the revision.
-type Lag struct {
+// BehindInstance is a live instance that has not reported the revision.
+type BehindInstance struct {
 	Instance fleet.InstanceID `json:"instance"`
 	Revision fleet.Revision   `json:"revision"` // As last reported; 0 when it never was.
 	Cause    string           `json:"cause"`    // Why it could not be asked; empty when it answered.
@@ -40,7 +40,7 @@
 type BehindError struct {
 	Revision fleet.Revision
 	Live     int // Live instances known.
-	Behind   []Lag
+	Behind   []BehindInstance
 	Cause    error // When no instance told who the others are.
 }
 
@@ -63,10 +63,10 @@
 // Unwrap returns ErrBehind.
 func (e *BehindError) Unwrap() error { return ErrBehind }
 
-// Follow waits until every live instance has at least the revision in force, or ctx ends. The
+// WaitForRevision waits until every live instance has at least the revision in force, or ctx ends. The
 // first clients tell who is live; then each live instance is asked itself. It returns the number
 // of live instances, or a *BehindError, or ErrNotAuthorized.
-func Follow(ctx context.Context, first []*Client, revision fleet.Revision) (int, error) {
+func WaitForRevision(ctx context.Context, first []*Client, revision fleet.Revision) (int, error) {
 	f := follower{first: first, revision: revision, has: make(map[fleet.Ref]fleet.Revision)}
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -144,7 +144,7 @@
 }
 
 // round asks each live instance that is behind, and returns those that still are.
-func (f *follower) round(ctx context.Context, live []fleet.Instance) []Lag {
+func (f *follower) round(ctx context.Context, live []fleet.Instance) []BehindInstance {
 	var due []fleet.Instance
 	for _, instance := range live {
 		if f.has[instance.Ref] < f.revision {
@@ -152,7 +152,7 @@
 		}
 	}
 	type answer struct {
-		inForce api.InForce
+		inForce api.ActiveConfig
 		err     error
 	}
 	mapper := iter.Mapper[fleet.Instance, answer]{MaxGoroutines: parallel}
@@ -160,7 +160,7 @@
 		inForce, err := f.ask(ctx, *instance)
 		return answer{inForce, err}
 	})
-	var behind []Lag
+	var behind []BehindInstance
 	for i, a := range answers {
 		ref := due[i].Ref
 		cause := ""
@@ -173,7 +173,7 @@
 			cause = fmt.Sprintf("its address is now %v's", a.inForce.Self)
 		}
 		if f.has[ref] < f.revision {
-			behind = append(behind, Lag{Instance: ref.ID, Revision: f.has[ref], Cause: cause})
+			behind = append(behind, BehindInstance{Instance: ref.ID, Revision: f.has[ref], Cause: cause})
 		}
 	}
 	return behind
@@ -182,14 +182,14 @@
 // errNoOperatorAddr says that an instance does not tell where it can be asked.
 var errNoOperatorAddr = errors.New("its operator address is not known")
 
-func (f *follower) ask(ctx context.Context, instance fleet.Instance) (api.InForce, error) {
+func (f *follower) ask(ctx context.Context, instance fleet.Instance) (api.ActiveConfig, error) {
 	if instance.OperatorAddr == "" {
-		return api.InForce{}, errNoOperatorAddr
+		return api.ActiveConfig{}, errNoOperatorAddr
 	}
 	c, err := New(instance.OperatorAddr, f.first[0].token)
 	if err != nil {
-		return api.InForce{}, err
+		return api.ActiveConfig{}, err
 	}
 	defer c.http.CloseIdleConnections()
-	return c.InForce(ctx)
+	return c.ActiveConfig(ctx)
 }
--- a/internal/operator/query/query.go
+++ b/internal/operator/query/query.go
@@ -58,10 +58,10 @@
 	return status, err
 }
 
-// InForce reads api.PathInForce.
-func (c *Client) InForce(ctx context.Context) (api.InForce, error) {
-	var inForce api.InForce
-	err := c.get(ctx, api.PathInForce, nil, &inForce)
+// ActiveConfig reads api.PathActiveConfig.
+func (c *Client) ActiveConfig(ctx context.Context) (api.ActiveConfig, error) {
+	var inForce api.ActiveConfig
+	err := c.get(ctx, api.PathActiveConfig, nil, &inForce)
 	return inForce, err
 }
 
--- a/internal/operator/query/query_test.go
+++ b/internal/operator/query/query_test.go
@@ -63,8 +63,8 @@
 	switch r.URL.Path {
 	case api.PathExplain:
 		_ = json.NewEncoder(w).Encode(api.Explanation{Method: r.URL.Query().Get(api.ParamMethod), Path: r.URL.Query().Get(api.ParamPath)})
-	case api.PathInForce:
-		_ = json.NewEncoder(w).Encode(api.InForce{Self: status.Self.Ref, Phase: status.Phase, Revision: status.Revision})
+	case api.PathActiveConfig:
+		_ = json.NewEncoder(w).Encode(api.ActiveConfig{Self: status.Self.Ref, Phase: status.Phase, Revision: status.Revision})
 	default:
 		_ = json.NewEncoder(w).Encode(status)
 	}
@@ -86,7 +86,7 @@
 		b.set(5)
 		c.set(6)
 	}()
-	live, err := Follow(context.Background(), []*Client{a.client}, 5)
+	live, err := WaitForRevision(context.Background(), []*Client{a.client}, 5)
 	if err != nil || live != 3 || d.asked.Load()+e.asked.Load() != 0 {
 		t.Fatalf("%d live, %v", live, err)
 	}
@@ -98,7 +98,7 @@
 	replaced := b.member("alive")
 	replaced.Instance.Ref.Incarnation = 9
 	a.set(5, b.member("alive"), c.member("alive"), silent, replaced)
-	_, err := Follow(ended(), []*Client{a.client}, 5)
+	_, err := WaitForRevision(ended(), []*Client{a.client}, 5)
 	var behind *BehindError
 	if !errors.As(err, &behind) || behind.Live != 5 || len(behind.Behind) != 3 {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Follow(ended(), []*Client{client}, 1); !errors.Is(err, ErrBehind) || !strings.Contains(err.Error(), "no instance answered") {
+	if _, err := WaitForRevision(ended(), []*Client{client}, 1); !errors.Is(err, ErrBehind) || !strings.Contains(err.Error(), "no instance answered") {
 		t.Fatal(err)
 	}
 }
@@ -123,7 +123,7 @@
 func TestRefusedToken(t *testing.T) {
 	a := newInstance(t, "a", 1)
 	a.client.token = "wrong"
-	if _, err := Follow(context.Background(), []*Client{a.client}, 1); !errors.Is(err, ErrNotAuthorized) {
+	if _, err := WaitForRevision(context.Background(), []*Client{a.client}, 1); !errors.Is(err, ErrNotAuthorized) {
 		t.Fatal(err)
 	}
 	if _, err := a.client.Explain(context.Background(), "GET", "/", "a"); !errors.Is(err, ErrNotAuthorized) {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -50,7 +50,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathHealth, s.health)
 	mux.HandleFunc("GET "+api.PathStatus, s.guard(s.status))
-	mux.HandleFunc("GET "+api.PathInForce, s.guard(s.inForce))
+	mux.HandleFunc("GET "+api.PathActiveConfig, s.guard(s.inForce))
 	mux.HandleFunc("GET "+api.PathExplain, s.guard(s.explain))
 	mux.HandleFunc("GET "+api.PathMetrics, s.guard(expvar.Handler().ServeHTTP))
 	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
@@ -112,7 +112,7 @@
 
 func (s *Server) inForce(w http.ResponseWriter, _ *http.Request) {
 	status := s.source.Status()
-	writeJSON(w, api.InForce{Self: status.Self.Ref, Phase: status.Phase, Revision: status.Revision})
+	writeJSON(w, api.ActiveConfig{Self: status.Self.Ref, Phase: status.Phase, Revision: status.Revision})
 }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
--- a/internal/settings/address.go
+++ b/internal/settings/address.go
@@ -9,7 +9,7 @@
 // listenAddress wants an IP number and a port, which may be 0 for a free one.
 func listenAddress(c *tomlfile.Collector, key, text string) {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		c.Add(key, tomlfile.Show(text), `must be an IP number and port, as "192.0.2.7:8080"; names are not taken`)
+		c.Add(key, tomlfile.FormatValue(text), `must be an IP number and port, as "192.0.2.7:8080"; names are not taken`)
 	}
 }
 
@@ -17,11 +17,11 @@
 func remoteAddress(c *tomlfile.Collector, key, text string) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		c.Add(key, tomlfile.Show(text), `must be an IP number and port, as "192.0.2.7:8080"; names are not taken`)
+		c.Add(key, tomlfile.FormatValue(text), `must be an IP number and port, as "192.0.2.7:8080"; names are not taken`)
 		return
 	}
 	if addr.Port() == 0 || addr.Addr().IsUnspecified() {
-		c.Add(key, tomlfile.Show(text), "must name one address and a port other than 0")
+		c.Add(key, tomlfile.FormatValue(text), "must name one address and a port other than 0")
 	}
 }
 
@@ -30,7 +30,7 @@
 func advertised(c *tomlfile.Collector, key, text, listening string) {
 	if text == listening || text == "" {
 		if addr, err := netip.ParseAddrPort(listening); err == nil && addr.Addr().IsUnspecified() {
-			c.Add(key, tomlfile.Show(text), "must be set to an address that others can connect to: %s is every address", listening)
+			c.Add(key, tomlfile.FormatValue(text), "must be set to an address that others can connect to: %s is every address", listening)
 		}
 		return
 	}
@@ -40,6 +40,6 @@
 func distinct(c *tomlfile.Collector, key, text, otherKey, other string) {
 	addr, err := netip.ParseAddrPort(text)
 	if err == nil && addr.Port() != 0 && text == other {
-		c.Add(key, tomlfile.Show(text), "is %s too", otherKey)
+		c.Add(key, tomlfile.FormatValue(text), "is %s too", otherKey)
 	}
 }
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -2,6 +2,6 @@
 //
 // Load goes through four steps: defaults, the TOML file, provision (files that the
 // settings name are read), validation. It returns settings that are whole, or a
-// *tomlfile.Error that lists every fault with file, key, value and bound. Secrets are
+// *tomlfile.ValidationError that lists every fault with file, key, value and bound. Secrets are
 // never shown.
 package settings
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -19,11 +19,11 @@
 const MaxFileBytes = 1 << 20
 
 // Load reads the settings in a file. Files that the settings name are looked for from
-// the settings file's directory. The error is a *tomlfile.Error.
+// the settings file's directory. The error is a *tomlfile.ValidationError.
 func Load(path string) (*Settings, error) {
 	data, err := readFile(path)
 	if err != nil {
-		return nil, &tomlfile.Error{Faults: []tomlfile.Fault{{File: path, Problem: err.Error()}}}
+		return nil, &tomlfile.ValidationError{Fields: []tomlfile.FieldError{{File: path, Problem: err.Error()}}}
 	}
 	return Parse(path, data)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,13 +13,13 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-func faultsOf(t *testing.T, err error) []tomlfile.Fault {
+func faultsOf(t *testing.T, err error) []tomlfile.FieldError {
 	t.Helper()
-	var faults *tomlfile.Error
+	var faults *tomlfile.ValidationError
 	if !errors.As(err, &faults) {
 		t.Fatalf("error %v is no list of faults", err)
 	}
-	return faults.Faults
+	return faults.Fields
 }
 
 func TestExampleIsValid(t *testing.T) {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -72,7 +72,7 @@
 	distinct(c, "listen.operator", l.Operator, "listen.peer", l.Peer)
 	if l.Outgoing != "" {
 		if _, err := netip.ParseAddr(l.Outgoing); err != nil {
-			c.Add("listen.outgoing", tomlfile.Show(l.Outgoing), "must be an IP number")
+			c.Add("listen.outgoing", tomlfile.FormatValue(l.Outgoing), "must be an IP number")
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		key := fmt.Sprintf("tickets.keys[%d]", i)
 		name(c, key+".id", k.ID)
 		if seen[k.ID] {
-			c.Add(key+".id", tomlfile.Show(k.ID), "is given twice")
+			c.Add(key+".id", tomlfile.FormatValue(k.ID), "is given twice")
 		}
 		seen[k.ID] = true
 		if k.Bytes != nil && len(k.Bytes) < MinSecretBytes {
@@ -158,17 +158,17 @@
 	case ExporterNone, ExporterStdout:
 	case ExporterOTLP:
 		if u, err := url.Parse(t.URL); err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-			c.Add("trace.url", tomlfile.Show(t.URL), `must be a URL of an OTLP collector, as "http://192.0.2.1:4318"`)
+			c.Add("trace.url", tomlfile.FormatValue(t.URL), `must be a URL of an OTLP collector, as "http://192.0.2.1:4318"`)
 		}
 	default:
-		c.Add("trace.exporter", tomlfile.Show(t.Exporter), "must be %q, %q or %q", ExporterNone, ExporterStdout, ExporterOTLP)
+		c.Add("trace.exporter", tomlfile.FormatValue(t.Exporter), "must be %q, %q or %q", ExporterNone, ExporterStdout, ExporterOTLP)
 	}
 	inRange(c, "trace.sample_share", t.SampleShare, 0, 1)
 }
 
 func name(c *tomlfile.Collector, key, text string) {
 	if len(text) > maxNameBytes || !namePattern.MatchString(text) {
-		c.Add(key, tomlfile.Show(text), "must be 1 to %d letters, digits, dots, dashes and underscores, and start with a letter or digit", maxNameBytes)
+		c.Add(key, tomlfile.FormatValue(text), "must be 1 to %d letters, digits, dots, dashes and underscores, and start with a letter or digit", maxNameBytes)
 	}
 }
 
--- a/internal/template/check.go
+++ b/internal/template/check.go
@@ -100,13 +100,13 @@
 	for i, route := range routes {
 		key := fmt.Sprintf("%s.routes[%d]", at.key, i)
 		if !slices.Contains(methods, route.Method) {
-			r.add(at.file, key+".method", tomlfile.Show(route.Method), "must be one of %v, or empty for any", methods[1:])
+			r.add(at.file, key+".method", tomlfile.FormatValue(route.Method), "must be one of %v, or empty for any", methods[1:])
 		}
 		if !strings.HasPrefix(route.PathPrefix, "/") || strings.ContainsAny(route.PathPrefix, "?# \t\r\n") {
-			r.add(at.file, key+".path_prefix", tomlfile.Show(route.PathPrefix), `must start with "/" and hold no space, "?" or "#"`)
+			r.add(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must start with "/" and hold no space, "?" or "#"`)
 		}
 		if strings.HasPrefix(route.PathPrefix, "/.damaskcove") {
-			r.add(at.file, key+".path_prefix", tomlfile.Show(route.PathPrefix), `must not start with "/.damaskcove", the fleet's own`)
+			r.add(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must not start with "/.damaskcove", the fleet's own`)
 		}
 	}
 }
@@ -116,10 +116,10 @@
 	for i, service := range services {
 		key := fmt.Sprintf("%s.services[%d]", at.key, i)
 		if _, ok := r.services[service]; !ok {
-			r.add(at.file, key, tomlfile.Show(string(service)), "no such service; there are %v", sortedKeys(r.services))
+			r.add(at.file, key, tomlfile.FormatValue(string(service)), "no such service; there are %v", sortedKeys(r.services))
 		}
 		if seen[service] {
-			r.add(at.file, key, tomlfile.Show(string(service)), "is given twice")
+			r.add(at.file, key, tomlfile.FormatValue(string(service)), "is given twice")
 		}
 		seen[service] = true
 	}
@@ -127,7 +127,7 @@
 
 func (r *resolver) checkName(at origin, name string) {
 	if name == "" || len(name) > rollout.MaxNameBytes || strings.ContainsFunc(name, notInName) {
-		r.add(at.file, at.key, tomlfile.Show(name), "name must be 1 to %d letters, digits, dots, dashes and underscores", rollout.MaxNameBytes)
+		r.add(at.file, at.key, tomlfile.FormatValue(name), "name must be 1 to %d letters, digits, dots, dashes and underscores", rollout.MaxNameBytes)
 	}
 }
 
@@ -166,7 +166,7 @@
 			key := routeKey{route.Method, strings.TrimSuffix(route.PathPrefix, "/")}
 			if other, ok := owner[key]; ok {
 				file := r.services[s.Name].file
-				r.add(file, fmt.Sprintf("service.%s.routes[%d]", trimName(string(s.Name)), i), tomlfile.Show(route.Method+" "+route.PathPrefix), "is also a route of service %q", other)
+				r.add(file, fmt.Sprintf("service.%s.routes[%d]", trimName(string(s.Name)), i), tomlfile.FormatValue(route.Method+" "+route.PathPrefix), "is also a route of service %q", other)
 				continue
 			}
 			owner[key] = s.Name
--- a/internal/template/load.go
+++ b/internal/template/load.go
@@ -40,11 +40,11 @@
 }
 
 // Load reads the templates in a file, or in each file of a directory whose name ends with ".toml".
-// The error is a *tomlfile.Error.
+// The error is a *tomlfile.ValidationError.
 func Load(path string) (*Set, error) {
 	sources, err := read(path)
 	if err != nil {
-		return nil, &tomlfile.Error{Faults: []tomlfile.Fault{{File: path, Problem: err.Error()}}}
+		return nil, &tomlfile.ValidationError{Fields: []tomlfile.FieldError{{File: path, Problem: err.Error()}}}
 	}
 	return Parse(sources...)
 }
--- a/internal/template/resolve.go
+++ b/internal/template/resolve.go
@@ -87,7 +87,7 @@
 	}
 	template, ok := r.templates[name]
 	if !ok {
-		r.add(at.file, at.key+".template", tomlfile.Show(name), "no such template; there are %v", sortedKeys(r.templates))
+		r.add(at.file, at.key+".template", tomlfile.FormatValue(name), "no such template; there are %v", sortedKeys(r.templates))
 		return serviceParameters{}, at
 	}
 	return template.value, origin{file: template.file, key: "template." + trimName(name)}
@@ -117,7 +117,7 @@
 	if entry.value.Template != "" {
 		template, ok := r.accountTemplates[entry.value.Template]
 		if !ok {
-			r.add(at.file, at.key+".template", tomlfile.Show(entry.value.Template), "no such account template; there are %v", sortedKeys(r.accountTemplates))
+			r.add(at.file, at.key+".template", tomlfile.FormatValue(entry.value.Template), "no such account template; there are %v", sortedKeys(r.accountTemplates))
 		} else {
 			shared, sharedAt = template.value, origin{file: template.file, key: "account_template." + trimName(entry.value.Template)}
 		}
--- a/internal/template/resolver.go
+++ b/internal/template/resolver.go
@@ -16,7 +16,7 @@
 
 // resolver gathers the files of a fleet, then resolves them.
 type resolver struct {
-	faults           []tomlfile.Fault
+	faults           []tomlfile.FieldError
 	fleet            located[string]
 	templates        map[string]located[serviceParameters]
 	services         map[fleet.Service]located[serviceEntry]
@@ -39,17 +39,17 @@
 func (r *resolver) add(file, key, value, format string, args ...any) {
 	c := tomlfile.Collector{File: file}
 	c.Add(key, value, format, args...)
-	r.faults = append(r.faults, c.Faults...)
+	r.faults = append(r.faults, c.Fields...)
 }
 
 func (r *resolver) err() error {
 	if len(r.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b tomlfile.Fault) int {
+	slices.SortStableFunc(r.faults, func(a, b tomlfile.FieldError) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Key, b.Key))
 	})
-	return &tomlfile.Error{Faults: r.faults}
+	return &tomlfile.ValidationError{Fields: r.faults}
 }
 
 // read decodes one file and takes in what it holds.
@@ -57,7 +57,7 @@
 	var f file
 	c := &tomlfile.Collector{File: source.Name}
 	tomlfile.Decode(c, source.Data, &f)
-	r.faults = append(r.faults, c.Faults...)
+	r.faults = append(r.faults, c.Fields...)
 	r.readFleet(source.Name, f.Fleet)
 	gather(r, source.Name, "template.", f.Templates, r.templates)
 	gather(r, source.Name, "service.", f.Services, r.services)
@@ -75,7 +75,7 @@
 		return
 	}
 	if r.fleet.value != "" && r.fleet.value != name {
-		r.add(file, "fleet", tomlfile.Show(name), "is %q in %s", r.fleet.value, r.fleet.file)
+		r.add(file, "fleet", tomlfile.FormatValue(name), "is %q in %s", r.fleet.value, r.fleet.file)
 		return
 	}
 	r.fleet = located[string]{value: name, file: file}
@@ -94,7 +94,7 @@
 
 func (r *resolver) readAccount(file, key string, name fleet.Account, entry accountEntry) {
 	if before, ok := r.accounts[name]; ok {
-		r.add(file, key, tomlfile.Show(string(name)), "is also in %s at %s", before.file, r.accountKeys[name])
+		r.add(file, key, tomlfile.FormatValue(string(name)), "is also in %s at %s", before.file, r.accountKeys[name])
 		return
 	}
 	r.accounts[name] = located[accountEntry]{value: entry, file: file}
--- a/internal/template/template_test.go
+++ b/internal/template/template_test.go
@@ -41,13 +41,13 @@
 	return Parse(Source{Name: "t.toml", Data: []byte(text)})
 }
 
-func faultsOf(t *testing.T, err error) []tomlfile.Fault {
+func faultsOf(t *testing.T, err error) []tomlfile.FieldError {
 	t.Helper()
-	var faults *tomlfile.Error
+	var faults *tomlfile.ValidationError
 	if !errors.As(err, &faults) {
 		t.Fatalf("error %v is no list of faults", err)
 	}
-	return faults.Faults
+	return faults.Fields
 }
 
 func TestServicesTakeTheirTemplatesParameters(t *testing.T) {
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -63,9 +63,9 @@
 func (d decoder) value(path string, value any, into reflect.Value) {
 	if into.Kind() == reflect.Pointer {
 		target := reflect.New(into.Type().Elem())
-		before := len(d.collector.Faults)
+		before := len(d.collector.Fields)
 		d.value(path, value, target.Elem())
-		if len(d.collector.Faults) == before {
+		if len(d.collector.Fields) == before {
 			into.Set(target)
 		}
 		return
@@ -137,7 +137,7 @@
 	}
 	unmarshaler, _ := into.Addr().Interface().(encoding.TextUnmarshaler)
 	if err := unmarshaler.UnmarshalText([]byte(text)); err != nil {
-		d.collector.Add(path, Show(value), "%s", err)
+		d.collector.Add(path, FormatValue(value), "%s", err)
 	}
 }
 
@@ -201,11 +201,11 @@
 }
 
 func (d decoder) mismatch(path string, value any, want string) {
-	d.collector.Add(path, Show(value), "must be %s", want)
+	d.collector.Add(path, FormatValue(value), "must be %s", want)
 }
 
-// Show returns a value as a fault shows it.
-func Show(value any) string {
+// FormatValue returns a value as a fault shows it.
+func FormatValue(value any) string {
 	text := fmt.Sprint(value)
 	if s, ok := value.(string); ok {
 		text = strconv.Quote(s)
--- a/internal/tomlfile/decode_test.go
+++ b/internal/tomlfile/decode_test.go
@@ -23,10 +23,10 @@
 	Private int
 }
 
-func decode(text string, into *file) []Fault {
+func decode(text string, into *file) []FieldError {
 	c := &Collector{File: "f.toml"}
 	Decode(c, []byte(text), into)
-	return c.Faults
+	return c.Fields
 }
 
 func TestDecodeAssigns(t *testing.T) {
@@ -72,7 +72,7 @@
 	want := []string{"by_name.x = 3: must be a table", "count = \"three\"", "maybe = \"x\"", "nonsense: unknown key", "on = 1", "parts[0].colour: unknown key",
 		"parts[0].name = 1", "parts[0].size = \"2 furlongs\"", "share = \"half\"", "wait = 30", "words[1] = 2"}
 	if len(faults) != len(want) {
-		t.Fatalf("%d faults, want %d:\n%v", len(faults), len(want), (&Error{Faults: faults}).Error())
+		t.Fatalf("%d faults, want %d:\n%v", len(faults), len(want), (&ValidationError{Fields: faults}).Error())
 	}
 	for i := range want {
 		if !strings.HasPrefix(faults[i].String(), "f.toml: "+want[i]) {
--- a/internal/tomlfile/fault.go
+++ b/internal/tomlfile/errors.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a file.
-type Fault struct {
+// FieldError is one thing wrong with a file.
+type FieldError struct {
 	File    string
 	Key     string // Dotted, with indexes, as "tickets.keys[1].secret"; empty for the whole file.
 	Value   string // As written; empty when there is none, or when it is secret.
@@ -14,7 +14,7 @@
 }
 
 // String returns the fault as "file: key = value: problem".
-func (f Fault) String() string {
+func (f FieldError) String() string {
 	text := f.File
 	if f.Key != "" {
 		text += ": " + f.Key
@@ -25,16 +25,16 @@
 	return text + ": " + f.Problem
 }
 
-// Error holds every fault that was found.
-type Error struct {
-	Faults []Fault
+// ValidationError holds every fault that was found.
+type ValidationError struct {
+	Fields []FieldError
 }
 
 // Error lists the faults, one a line.
-func (e *Error) Error() string {
-	lines := make([]string, 0, len(e.Faults)+1)
-	lines = append(lines, fmt.Sprintf("%d faults", len(e.Faults)))
-	for _, f := range e.Faults {
+func (e *ValidationError) Error() string {
+	lines := make([]string, 0, len(e.Fields)+1)
+	lines = append(lines, fmt.Sprintf("%d faults", len(e.Fields)))
+	for _, f := range e.Fields {
 		lines = append(lines, f.String())
 	}
 	return strings.Join(lines, "\n")
@@ -43,18 +43,18 @@
 // Collector gathers the faults of one file.
 type Collector struct {
 	File   string
-	Faults []Fault
+	Fields []FieldError
 }
 
 // Add records a fault.
 func (c *Collector) Add(key, value, format string, args ...any) {
-	c.Faults = append(c.Faults, Fault{File: c.File, Key: key, Value: value, Problem: fmt.Sprintf(format, args...)})
+	c.Fields = append(c.Fields, FieldError{File: c.File, Key: key, Value: value, Problem: fmt.Sprintf(format, args...)})
 }
 
 // Err returns an *Error with the faults, or nil without any.
 func (c *Collector) Err() error {
-	if len(c.Faults) == 0 {
+	if len(c.Fields) == 0 {
 		return nil
 	}
-	return &Error{Faults: c.Faults}
+	return &ValidationError{Fields: c.Fields}
 }
