--- a/client/client.go
+++ b/client/client.go
@@ -68,7 +68,7 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	cache  map[fleet.Service]*cached
+	cache  map[fleet.Service]*cacheEntry
 }
 
 // New returns a client.
@@ -101,7 +101,7 @@
 		http:     o.HTTP,
 		now:      o.Now,
 		random:   o.Random,
-		cache:    make(map[fleet.Service]*cached),
+		cache:    make(map[fleet.Service]*cacheEntry),
 	}, nil
 }
 
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -30,8 +30,8 @@
 	answersIncarnation
 	answersAttemptNotRun // Refuses the attempt; says nothing of the key.
 	answersShed
-	runsAndCutsOff
-	runsAndIsSilent
+	runsAndTruncates
+	runsAndCloses
 	closesBeforeRunning
 	behaviours
 )
@@ -62,16 +62,16 @@
 	}
 }
 
-// seen is what a fake fleet saw.
-type seen struct {
+// fleetRecord is what a fake fleet saw.
+type fleetRecord struct {
 	runs, discoveries int
 	keys              []string
 }
 
-func (f *fakeFleet) seen() seen {
+func (f *fakeFleet) record() fleetRecord {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return seen{runs: f.runs, discoveries: f.discoveries, keys: append([]string(nil), f.keys...)}
+	return fleetRecord{runs: f.runs, discoveries: f.discoveries, keys: append([]string(nil), f.keys...)}
 }
 
 func (f *fakeFleet) addresses() []string {
@@ -125,27 +125,27 @@
 		w.Header().Set(HeaderExecution, ExecutionRan)
 		_, _ = io.WriteString(w, "whole")
 	case answersStopping:
-		refuse(w, result.CodeStopping)
+		writeRejection(w, result.CodeStopping)
 	case answersRelayFailed:
 		f.run(key)
-		refuse(w, result.CodeRelayFailed)
+		writeRejection(w, result.CodeRelayFailed)
 	case answersIncarnation:
-		refuse(w, result.CodeTicketIncarnation)
+		writeRejection(w, result.CodeTicketIncarnation)
 	case answersAttemptNotRun:
-		refuse(w, result.CodeAttemptNotRun)
+		writeRejection(w, result.CodeAttemptNotRun)
 	case answersShed:
 		if f.ranKeys[key] && key != "" {
-			refuse(w, result.CodeOutcomeUnknown)
+			writeRejection(w, result.CodeOutcomeUnknown)
 			return
 		}
-		refuse(w, result.CodeShedQueueFull)
-	case runsAndCutsOff:
+		writeRejection(w, result.CodeShedQueueFull)
+	case runsAndTruncates:
 		f.run(key)
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "half")
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case runsAndIsSilent:
+	case runsAndCloses:
 		f.run(key)
 		panic(http.ErrAbortHandler)
 	case closesBeforeRunning:
@@ -153,7 +153,7 @@
 	}
 }
 
-func refuse(w http.ResponseWriter, code result.Code) {
+func writeRejection(w http.ResponseWriter, code result.Code) {
 	entry, _ := result.Lookup(code)
 	w.Header().Set(HeaderCode, strconv.Itoa(int(code)))
 	w.Header().Set(HeaderExecution, entry.Execution.String())
@@ -187,14 +187,14 @@
 		} else if err != nil {
 			rt.Fatal(err)
 		}
-		got := f.seen()
+		got := f.record()
 		if !r.Idempotent && got.runs > 1 {
-			rt.Fatalf("ran %d times, keys %v", f.seen().runs, f.seen().keys)
+			rt.Fatalf("ran %d times, keys %v", f.record().runs, f.record().keys)
 		}
-		if execution == ExecutionNotRun && f.seen().runs > 0 {
-			rt.Fatalf("told not run, ran %d times, keys %v", f.seen().runs, f.seen().keys)
+		if execution == ExecutionNotRun && f.record().runs > 0 {
+			rt.Fatalf("told not run, ran %d times, keys %v", f.record().runs, f.record().keys)
 		}
-		if execution == ExecutionRan && f.seen().runs == 0 {
+		if execution == ExecutionRan && f.record().runs == 0 {
 			rt.Fatal("told ran, ran never")
 		}
 		if execution == ExecutionRan && string(answer.Body) != "whole" {
@@ -208,10 +208,10 @@
 
 func TestRetryKeepsTheKey(t *testing.T) {
 	f := newFakeFleet(t)
-	f.plan = []behaviour{runsAndIsSilent}
+	f.plan = []behaviour{runsAndCloses}
 	answer, err := newTestClient(t, f).Do(context.Background(), Request{Service: "s", Method: http.MethodPost, URI: "/o"})
-	if err != nil || answer.Attempts != 2 || len(f.seen().keys) != 2 || f.seen().keys[0] != f.seen().keys[1] || f.seen().runs != 1 {
-		t.Fatalf("%+v %v, keys %v, runs %d", answer, err, f.seen().keys, f.seen().runs)
+	if err != nil || answer.Attempts != 2 || len(f.record().keys) != 2 || f.record().keys[0] != f.record().keys[1] || f.record().runs != 1 {
+		t.Fatalf("%+v %v, keys %v, runs %d", answer, err, f.record().keys, f.record().runs)
 	}
 }
 
@@ -219,18 +219,18 @@
 	f := newFakeFleet(t)
 	f.plan = []behaviour{answersIncarnation}
 	answer, err := newTestClient(t, f).Do(context.Background(), Request{Service: "s", Method: http.MethodPost, URI: "/o"})
-	if err != nil || answer.Execution != ExecutionRan || f.seen().keys[0] == f.seen().keys[1] || f.seen().discoveries != 2 {
-		t.Fatalf("%+v %v, keys %v", answer, err, f.seen().keys)
+	if err != nil || answer.Execution != ExecutionRan || f.record().keys[0] == f.record().keys[1] || f.record().discoveries != 2 {
+		t.Fatalf("%+v %v, keys %v", answer, err, f.record().keys)
 	}
 }
 
 func TestUnkeyedOrderIsSentOnce(t *testing.T) {
 	f := newFakeFleet(t)
-	f.plan = []behaviour{runsAndIsSilent}
+	f.plan = []behaviour{runsAndCloses}
 	_, err := newTestClient(t, f).Do(context.Background(), Request{Service: "s", Method: http.MethodPost, URI: "/o", Unkeyed: true})
 	var none *NoAnswerError
-	if !errors.As(err, &none) || none.Execution != ExecutionUnknown || len(f.seen().keys) != 1 {
-		t.Fatalf("%v, %d sends", err, len(f.seen().keys))
+	if !errors.As(err, &none) || none.Execution != ExecutionUnknown || len(f.record().keys) != 1 {
+		t.Fatalf("%v, %d sends", err, len(f.record().keys))
 	}
 }
 
@@ -246,8 +246,8 @@
 		want  int
 	}{{0, 1}, {59 * time.Second, 1}, {time.Second, 2}} {
 		now = now.Add(step.after)
-		if _, err := c.Discover(context.Background(), "s"); err != nil || f.seen().discoveries != step.want {
-			t.Fatalf("after %v: %d discoveries, %v", step.after, f.seen().discoveries, err)
+		if _, err := c.Discover(context.Background(), "s"); err != nil || f.record().discoveries != step.want {
+			t.Fatalf("after %v: %d discoveries, %v", step.after, f.record().discoveries, err)
 		}
 	}
 }
--- a/client/discover.go
+++ b/client/discover.go
@@ -18,8 +18,8 @@
 // maxDiscoveryBytes bounds a discovery answer.
 const maxDiscoveryBytes = 64 << 10
 
-// cached is the last discovery answer of a service.
-type cached struct {
+// cacheEntry is the last discovery answer of a service.
+type cacheEntry struct {
 	mu        sync.Mutex // Held while the service is being discovered.
 	discovery Discovery
 	until     time.Time
@@ -27,13 +27,13 @@
 
 // Discover returns the entries to use for a service, from the last answer while it may be used.
 func (c *Client) Discover(ctx context.Context, service fleet.Service) (Discovery, error) {
-	entry := c.cacheOf(service)
+	entry := c.cacheEntryFor(service)
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
 	if c.now().Before(entry.until) {
 		return entry.discovery, nil
 	}
-	discovery, err := c.ask(ctx, service, entry.discovery)
+	discovery, err := c.requestDiscovery(ctx, service, entry.discovery)
 	if err != nil {
 		return Discovery{}, err
 	}
@@ -42,9 +42,9 @@
 	return discovery, nil
 }
 
-// forget makes the next Discover ask again, unless another answer has come since.
-func (c *Client) forget(service fleet.Service, ticket string) {
-	entry := c.cacheOf(service)
+// invalidate makes the next Discover ask again, unless another answer has come since.
+func (c *Client) invalidate(service fleet.Service, ticket string) {
+	entry := c.cacheEntryFor(service)
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
 	if entry.discovery.Ticket == ticket {
@@ -52,19 +52,19 @@
 	}
 }
 
-func (c *Client) cacheOf(service fleet.Service) *cached {
+func (c *Client) cacheEntryFor(service fleet.Service) *cacheEntry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	entry, ok := c.cache[service]
 	if !ok {
-		entry = &cached{}
+		entry = &cacheEntry{}
 		c.cache[service] = entry
 	}
 	return entry
 }
 
-// ask asks the entries of the last answer, then those of the options, until one answers.
-func (c *Client) ask(ctx context.Context, service fleet.Service, last Discovery) (Discovery, error) {
+// requestDiscovery asks the entries of the last answer, then those of the options, until one answers.
+func (c *Client) requestDiscovery(ctx context.Context, service fleet.Service, last Discovery) (Discovery, error) {
 	var addresses []string
 	for _, e := range last.Entries {
 		addresses = append(addresses, e.Address)
@@ -72,7 +72,7 @@
 	addresses = append(addresses, c.shuffledEntries()...)
 	var errs []error
 	for _, address := range addresses {
-		discovery, err := c.askOne(ctx, address, service)
+		discovery, err := c.requestDiscoveryFrom(ctx, address, service)
 		if err == nil {
 			return discovery, nil
 		}
@@ -92,7 +92,7 @@
 	return out
 }
 
-func (c *Client) askOne(ctx context.Context, address string, service fleet.Service) (Discovery, error) {
+func (c *Client) requestDiscoveryFrom(ctx context.Context, address string, service fleet.Service) (Discovery, error) {
 	query := url.Values{ParamService: {string(service)}, ParamAccount: {string(c.account)}}
 	if c.zone != "" {
 		query.Set(ParamZone, string(c.zone))
--- a/client/request.go
+++ b/client/request.go
@@ -57,39 +57,39 @@
 // error is a *NoAnswerError, or wraps ErrNoEntry when nothing was sent. The body of the answer is the
 // caller's own.
 func (c *Client) Do(ctx context.Context, r Request) (Answer, error) {
-	t := &try{client: c, request: r, key: r.Key}
+	t := &retrier{client: c, request: r, key: r.Key}
 	for t.attempts < c.attempts {
 		answer, done, err := t.next(ctx)
 		if done {
 			return answer, err
 		}
 	}
-	return t.last()
+	return t.result()
 }
 
-// try is one request over its attempts.
-type try struct {
-	client   *Client
-	request  Request
-	key      string
-	keySends int  // Attempts that may have left with the present key.
-	unsure   bool // An attempt without a key may have run.
-	attempts int
-	tried    map[string]bool
-	answer   Answer
-	answered bool
-	err      error
+// retrier is one request over its attempts.
+type retrier struct {
+	client       *Client
+	request      Request
+	key          string
+	sendsWithKey int  // Attempts that may have left with the present key.
+	mayHaveRun   bool // An attempt without a key may have run.
+	attempts     int
+	tried        map[string]bool
+	answer       Answer
+	answered     bool
+	err          error
 }
 
 // next makes one attempt. done says that its result is the request's.
-func (t *try) next(ctx context.Context) (answer Answer, done bool, err error) {
+func (t *retrier) next(ctx context.Context) (answer Answer, done bool, err error) {
 	discovery, err := t.client.Discover(ctx, t.request.Service)
 	if err != nil {
 		if t.attempts == 0 {
 			return Answer{}, true, err
 		}
-		t.fail(err)
-		answer, err = t.last()
+		t.recordError(err)
+		answer, err = t.result()
 		return answer, true, err
 	}
 	t.prepareKey(discovery)
@@ -97,42 +97,42 @@
 	t.attempts++
 	answer, sent, err := t.client.sendOnce(ctx, entry, t.request, t.key)
 	if sent {
-		t.keySends++
+		t.sendsWithKey++
 	}
 	if err != nil {
-		t.fail(err)
-		t.client.forget(t.request.Service, discovery.Ticket)
+		t.recordError(err)
+		t.client.invalidate(t.request.Service, discovery.Ticket)
 		if sent && !t.repeatable() {
-			t.unsure = true
-			answer, err = t.last()
+			t.mayHaveRun = true
+			answer, err = t.result()
 			return answer, true, err
 		}
-		t.unsure = t.unsure || (sent && t.key == "")
+		t.mayHaveRun = t.mayHaveRun || (sent && t.key == "")
 		return Answer{}, false, nil
 	}
-	return t.judge(answer, discovery)
+	return t.handleAnswer(answer, discovery)
 }
 
-// judge decides whether an answer is the request's.
-func (t *try) judge(answer Answer, discovery Discovery) (Answer, bool, error) {
+// handleAnswer decides whether an answer is the request's.
+func (t *retrier) handleAnswer(answer Answer, discovery Discovery) (Answer, bool, error) {
 	answer.Attempts = t.attempts
 	t.answer, t.answered = answer, true
-	if !t.mayGoOn(answer.Code) {
-		return t.finish(), true, nil
+	if !t.shouldTryAnotherEntry(answer.Code) {
+		return t.finalAnswer(), true, nil
 	}
-	t.client.forget(t.request.Service, discovery.Ticket)
+	t.client.invalidate(t.request.Service, discovery.Ticket)
 	return Answer{}, false, nil
 }
 
-// mayGoOn reports whether an answer is of one entry only, so that another may do better.
-func (t *try) mayGoOn(code result.Code) bool {
+// shouldTryAnotherEntry reports whether an answer is of one entry only, so that another may do better.
+func (t *retrier) shouldTryAnotherEntry(code result.Code) bool {
 	switch code {
 	case result.CodeStopping, result.CodeNotReady:
 		return true
 	case result.CodeTicketIncarnation, result.CodeTicketExpired, result.CodeAttemptNotRun, result.CodeClaimTableFull:
 		return t.renewKey()
 	case result.CodeRelayFailed:
-		t.unsure = t.unsure || t.key == ""
+		t.mayHaveRun = t.mayHaveRun || t.key == ""
 		return t.repeatable()
 	default:
 		return false
@@ -140,23 +140,23 @@
 }
 
 // repeatable reports whether the request may be sent again after it may have run.
-func (t *try) repeatable() bool {
+func (t *retrier) repeatable() bool {
 	return t.request.Idempotent || t.key != ""
 }
 
 // prepareKey makes the key of a request that needs one.
-func (t *try) prepareKey(d Discovery) {
+func (t *retrier) prepareKey(d Discovery) {
 	if t.key != "" || t.request.Idempotent || t.request.Unkeyed {
 		return
 	}
 	t.key = t.client.keyFor(d)
-	t.keySends = 0
+	t.sendsWithKey = 0
 }
 
 // renewKey drops the key, so that the next attempt makes a new one, and reports whether it
 // could: the key is this package's own, and the attempt that was refused was its only one.
-func (t *try) renewKey() bool {
-	if t.request.Key != "" || t.keySends > 1 {
+func (t *retrier) renewKey() bool {
+	if t.request.Key != "" || t.sendsWithKey > 1 {
 		return false
 	}
 	t.key = ""
@@ -164,7 +164,7 @@
 }
 
 // choose returns the best entry that was not tried yet, else the best.
-func (t *try) choose(d Discovery) string {
+func (t *retrier) choose(d Discovery) string {
 	if t.tried == nil {
 		t.tried = make(map[string]bool)
 	}
@@ -177,27 +177,27 @@
 	return d.Entries[t.attempts%len(d.Entries)].Address
 }
 
-func (t *try) fail(err error) {
+func (t *retrier) recordError(err error) {
 	t.err = err
 	t.answered = false
 }
 
-// finish returns the last answer, with what it says of the whole request: that one attempt did
+// finalAnswer returns the last answer, with what it says of the whole request: that one attempt did
 // not run says nothing of an earlier one, unless the answer speaks of the key.
-func (t *try) finish() Answer {
-	earlier := t.unsure || t.keySends > 1
-	if t.answer.Execution == ExecutionNotRun && earlier && !(t.key != "" && speaksOfKey(t.answer.Code)) {
+func (t *retrier) finalAnswer() Answer {
+	earlier := t.mayHaveRun || t.sendsWithKey > 1
+	if t.answer.Execution == ExecutionNotRun && earlier && !(t.key != "" && appliesToKey(t.answer.Code)) {
 		t.answer.Execution = ExecutionUnknown
 	}
-	if t.answer.Execution == ExecutionUnknown && !earlier && t.request.Key == "" && refusesAttempt(t.answer.Code) {
+	if t.answer.Execution == ExecutionUnknown && !earlier && t.request.Key == "" && rejectsAttempt(t.answer.Code) {
 		t.answer.Execution = ExecutionNotRun
 	}
 	return t.answer
 }
 
-// refusesAttempt reports whether a code says that the attempt that it answers did not run and
+// rejectsAttempt reports whether a code says that the attempt that it answers did not run and
 // never will. When that was the key's only attempt, the request did not run.
-func refusesAttempt(code result.Code) bool {
+func rejectsAttempt(code result.Code) bool {
 	switch code {
 	case result.CodeNoRoute, result.CodeUnknownAccount, result.CodeAccountNotAllowed, result.CodeBodyTooLarge, result.CodeMalformedRequest,
 		result.CodeStopping, result.CodeNotReady, result.CodeTicketMalformed, result.CodeTicketForged,
@@ -208,8 +208,8 @@
 	}
 }
 
-// speaksOfKey reports whether a code that says "not run" was given after the key was sealed.
-func speaksOfKey(code result.Code) bool {
+// appliesToKey reports whether a code that says "not run" was given after the key was sealed.
+func appliesToKey(code result.Code) bool {
 	switch code {
 	case result.CodeKeySealed, result.CodeShedQueueFull, result.CodeShedDeadline, result.CodeUpstreamRefused, result.CodeNotSent:
 		return true
@@ -218,13 +218,13 @@
 	}
 }
 
-// last returns what is known after the last attempt.
-func (t *try) last() (Answer, error) {
+// result returns what is known after the result attempt.
+func (t *retrier) result() (Answer, error) {
 	if t.answered {
-		return t.finish(), nil
+		return t.finalAnswer(), nil
 	}
 	execution := ExecutionNotRun
-	if t.unsure || (t.key != "" && t.keySends > 0) {
+	if t.mayHaveRun || (t.key != "" && t.sendsWithKey > 0) {
 		execution = ExecutionUnknown
 	}
 	if t.err == nil {
--- a/client/send.go
+++ b/client/send.go
@@ -15,9 +15,9 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-// keyHeaderOnWire is HeaderKey in lower case. net/http repeats requests by itself when
+// lowerCaseHeaderKey is HeaderKey in lower case. net/http repeats requests by itself when
 // it sees the usual spelling; this package counts its attempts and repeats them itself.
-const keyHeaderOnWire = "idempotency-key"
+const lowerCaseHeaderKey = "idempotency-key"
 
 // sendOnce makes one attempt. sent reports whether bytes of the request may have left.
 func (c *Client) sendOnce(ctx context.Context, entry string, r Request, key string) (answer Answer, sent bool, err error) {
@@ -50,7 +50,7 @@
 		header.Set(HeaderService, string(r.Service))
 	}
 	if key != "" {
-		header[keyHeaderOnWire] = []string{key}
+		header[lowerCaseHeaderKey] = []string{key}
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		left := max(time.Until(deadline).Milliseconds(), 1)
--- a/cmd/damaskcove/main.go
+++ b/cmd/damaskcove/main.go
@@ -123,11 +123,11 @@
 	store := client.New(s.Platform.Address, string(s.Instance.ID))
 	defer store.Close()
 	options := node.Options{Settings: s, Store: store, List: store, Log: log, Tracer: tracer, Seed: uint64(time.Now().UnixNano())}
-	return explain(node.RunLives(ctx, options, func(*node.Node) {}))
+	return withResultCode(node.RunLives(ctx, options, func(*node.Node) {}))
 }
 
-// explain adds the result code that operators look up.
-func explain(err error) error {
+// withResultCode adds the result code that operators look up.
+func withResultCode(err error) error {
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return fmt.Errorf("code %d: %w", result.CodeAddressInUse, err)
 	}
--- a/cmd/damaskcove/processes_test.go
+++ b/cmd/damaskcove/processes_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func (p *process) await(t *testing.T) int {
+func (p *process) wait(t *testing.T) int {
 	t.Helper()
 	select {
 	case <-p.done:
@@ -226,7 +226,7 @@
 		c := exec.Command(binaries.tool, args...)
 		c.Env = append(os.Environ(), "DAMASKCOVE_TOKEN="+token)
 		out, err := c.CombinedOutput()
-		if err == nil && s.serves() {
+		if err == nil && s.isServing() {
 			return
 		}
 		if time.Now().After(deadline) {
@@ -236,8 +236,8 @@
 	}
 }
 
-// serves reports whether every instance answers discovery with as many entries as there are instances, or three.
-func (s *system) serves() bool {
+// isServing reports whether every instance answers discovery with as many entries as there are instances, or three.
+func (s *system) isServing() bool {
 	for _, entry := range s.entries {
 		var d client.Discovery
 		if getJSON("http://"+entry+client.DiscoverPath+"?service=drums&account=brewer", &d) != nil {
@@ -264,15 +264,15 @@
 	return json.Unmarshal(data, into)
 }
 
-// told counts what callers were told.
-type told struct {
-	mu                       sync.Mutex
-	answered, notRun, unsure int
-	bad                      []string
+// outcomes counts what callers were outcomes.
+type outcomes struct {
+	mu                        sync.Mutex
+	answered, notRun, unknown int
+	mismatched                []string
 }
 
-// order sends one order and counts what its caller is told in the end.
-func (s *system) order(c *client.Client, id string, sum *told) {
+// sendOrder sends one sendOrder and counts what its caller is told in the end.
+func (s *system) sendOrder(c *client.Client, id string, sum *outcomes) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	a, err := c.Do(ctx, client.Request{
@@ -284,22 +284,22 @@
 	defer sum.mu.Unlock()
 	switch {
 	case errors.As(err, &none) && none.Execution == client.ExecutionUnknown:
-		sum.unsure++
+		sum.unknown++
 	case err != nil, a.Execution == client.ExecutionNotRun:
 		sum.notRun++
 	case a.Execution == client.ExecutionUnknown:
-		sum.unsure++
+		sum.unknown++
 	default:
 		sum.answered++
 		var body upstream.Answer
 		if json.Unmarshal(a.Body, &body) != nil || body.RequestID != id {
-			sum.bad = append(sum.bad, id)
+			sum.mismatched = append(sum.mismatched, id)
 		}
 	}
 }
 
-// orders sends orders one after another until stop is closed.
-func (s *system) orders(t *testing.T, worker int, stop <-chan struct{}, sum *told) {
+// sendOrders sends sendOrders one after another until stop is closed.
+func (s *system) sendOrders(t *testing.T, worker int, stop <-chan struct{}, sum *outcomes) {
 	c, err := client.New(client.Options{Entries: s.entries, Account: "brewer", Zone: "z1"})
 	if err != nil {
 		t.Error(err)
@@ -310,7 +310,7 @@
 		case <-stop:
 			return
 		default:
-			s.order(c, fmt.Sprintf("order-%d-%d", worker, i), sum)
+			s.sendOrder(c, fmt.Sprintf("order-%d-%d", worker, i), sum)
 		}
 	}
 }
@@ -319,24 +319,24 @@
 // as planned, while callers order, and then compares what they were told with what upstreams ran.
 func TestSeparateProcessesKeepTheirPromises(t *testing.T) {
 	s := startSystem(t, 5)
-	sum := &told{}
+	sum := &outcomes{}
 	stop := make(chan struct{})
 	var workers sync.WaitGroup
 	for w := range 8 {
-		workers.Go(func() { s.orders(t, w, stop, sum) })
+		workers.Go(func() { s.sendOrders(t, w, stop, sum) })
 	}
-	s.awaitAnswered(t, sum, 100)
+	s.waitForAnswers(t, sum, 100)
 	s.instances[0].signal(t, syscall.SIGKILL)
-	s.awaitAnswered(t, sum, 100)
+	s.waitForAnswers(t, sum, 100)
 	s.instances[1].signal(t, syscall.SIGSTOP)
-	s.awaitAnswered(t, sum, 100)
+	s.waitForAnswers(t, sum, 100)
 	s.instances[1].signal(t, syscall.SIGCONT)
-	s.awaitAnswered(t, sum, 100)
+	s.waitForAnswers(t, sum, 100)
 	s.instances[2].signal(t, syscall.SIGTERM)
-	if code := s.instances[2].await(t); code != 0 {
+	if code := s.instances[2].wait(t); code != 0 {
 		t.Errorf("planned stop ended with exit code %d, want 0", code)
 	}
-	s.awaitAnswered(t, sum, 100)
+	s.waitForAnswers(t, sum, 100)
 	close(stop)
 	workers.Wait()
 	var summary upstream.Summary
@@ -346,17 +346,17 @@
 	if len(summary.Doubled) > 0 {
 		t.Errorf("orders that ran twice: %v", summary.Doubled)
 	}
-	if len(sum.bad) > 0 {
-		t.Errorf("answers of other requests: %v", sum.bad)
+	if len(sum.mismatched) > 0 {
+		t.Errorf("answers of other requests: %v", sum.mismatched)
 	}
-	if ran := summary.Orders; ran < sum.answered || ran > sum.answered+sum.unsure {
-		t.Errorf("upstreams ran %d orders; callers were told answered %d, unsure %d, not run %d", ran, sum.answered, sum.unsure, sum.notRun)
+	if ran := summary.Orders; ran < sum.answered || ran > sum.answered+sum.unknown {
+		t.Errorf("upstreams ran %d orders; callers were told answered %d, unsure %d, not run %d", ran, sum.answered, sum.unknown, sum.notRun)
 	}
-	t.Logf("answered %d, not run %d, unsure %d; upstreams ran %d", sum.answered, sum.notRun, sum.unsure, summary.Orders)
+	t.Logf("answered %d, not run %d, unsure %d; upstreams ran %d", sum.answered, sum.notRun, sum.unknown, summary.Orders)
 }
 
-// awaitAnswered waits until more orders have been answered.
-func (s *system) awaitAnswered(t *testing.T, sum *told, more int) {
+// waitForAnswers waits until more orders have been answered.
+func (s *system) waitForAnswers(t *testing.T, sum *outcomes, more int) {
 	t.Helper()
 	count := func() int {
 		sum.mu.Lock()
@@ -376,7 +376,7 @@
 	dir := t.TempDir()
 	bad := write(t, filepath.Join(dir, "bad.toml"), "[instance]\nid = \"a\"\nunknown = 1\n[listen]\nentry = \"localhost:80\"\n")
 	p := start(t, dir, "bad", binaries.daemon, "--settings", bad)
-	if code := p.await(t); code != exitSettings {
+	if code := p.wait(t); code != exitSettings {
 		t.Errorf("settings with faults: exit status %d, want %d", code, exitSettings)
 	}
 	output, err := os.ReadFile(p.log)
@@ -395,7 +395,7 @@
 	defer func() { _ = taken.Close() }()
 	text := instanceSettings("a", "z1", taken.Addr().String(), freeAddress(t), freeAddress(t), freeAddress(t))
 	p = start(t, dir, "taken", binaries.daemon, "--settings", write(t, filepath.Join(dir, "taken.toml"), text))
-	if code := p.await(t); code != exitAddress {
+	if code := p.wait(t); code != exitAddress {
 		t.Errorf("address in use: exit status %d, want %d", code, exitAddress)
 	}
 }
--- a/cmd/damaskctl/apply.go
+++ b/cmd/damaskctl/apply.go
@@ -49,7 +49,7 @@
 		Long:  applyHelp,
 		Example: "  damaskctl apply examples/qalqan --platform 192.0.2.1:7070\n" +
 			"  damaskctl apply examples/qalqan --platform 192.0.2.1:7070 --wait --operator 192.0.2.11:8082 --token-file token",
-		Args: exactly(1),
+		Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return apply(c.Context(), c.OutOrStdout(), f, args[0])
 		},
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	base, err := baseOf(path, current, f.rebase)
+	base, err := loadBase(path, current, f.rebase)
 	if err != nil {
 		return nil, err
 	}
@@ -111,20 +111,20 @@
 	writeDifferences(w, "changes", rollout.Diff(base, wanted), f.all)
 	if change.Empty() {
 		_, _ = fmt.Fprintf(w, "nothing to change at revision %d\n", revisionOf(current))
-		return current, keepBase(path, wanted, current)
+		return current, writeBase(path, wanted, current)
 	}
 	_, _ = fmt.Fprintf(w, "change ID: %s\n", f.changeID)
-	noted := &notingStore{Store: store}
+	noted := &unknownWriteRecorder{Store: store}
 	accepted, err := operate.Apply(ctx, noted, set.Fleet, base, change, f.changeID)
 	if err != nil {
-		return nil, noted.explain(err, f.changeID)
+		return nil, noted.wrapError(err, f.changeID)
 	}
 	_, _ = fmt.Fprintf(w, "accepted as revision %d\n", accepted.Revision)
-	return accepted.Config, keepBase(path, wanted, accepted.Config)
+	return accepted.Config, writeBase(path, wanted, accepted.Config)
 }
 
-// keepBase keeps the templates as the base of the next apply.
-func keepBase(path string, applied, accepted *rollout.Config) error {
+// writeBase keeps the templates as the base of the next apply.
+func writeBase(path string, applied, accepted *rollout.Config) error {
 	if accepted == nil {
 		return nil
 	}
@@ -134,8 +134,8 @@
 // errNoBase says that it is not known what the operator started from.
 var errNoBase = errors.New("the store holds a configuration, and nothing was applied from here before")
 
-// baseOf returns the configuration that the operator started from.
-func baseOf(path string, current *rollout.Config, rebase bool) (*rollout.Config, error) {
+// loadBase returns the configuration that the operator started from.
+func loadBase(path string, current *rollout.Config, rebase bool) (*rollout.Config, error) {
 	if rebase {
 		return current, nil
 	}
@@ -144,29 +144,29 @@
 		return nil, err
 	}
 	if base == nil && current != nil {
-		return nil, &failure{exit: exitConflict, err: fmt.Errorf("%w: look at \"damaskctl diff %s\" and apply with --rebase", errNoBase, path)}
+		return nil, &commandError{exit: exitConflict, err: fmt.Errorf("%w: look at \"damaskctl diff %s\" and apply with --rebase", errNoBase, path)}
 	}
 	return base, nil
 }
 
-// notingStore notes that the result of a write is unknown: a later read that fails tells nothing of it.
-type notingStore struct {
+// unknownWriteRecorder notes that the result of a write is unknown: a later read that fails tells nothing of it.
+type unknownWriteRecorder struct {
 	metastore.Store
-	unknown bool
+	unknownWrite bool
 }
 
-func (s *notingStore) CompareAndSwap(ctx context.Context, key string, expected metastore.Version, data []byte, lease metastore.LeaseID) (metastore.Version, error) {
+func (s *unknownWriteRecorder) CompareAndSwap(ctx context.Context, key string, expected metastore.Version, data []byte, lease metastore.LeaseID) (metastore.Version, error) {
 	version, err := s.Store.CompareAndSwap(ctx, key, expected, data, lease)
 	if errors.Is(err, metastore.ErrUnknownResult) {
-		s.unknown = true
+		s.unknownWrite = true
 	}
 	return version, err
 }
 
-// explain returns the error of an apply; with an unknown write before, only a conflict or a fault says
+// wrapError returns the error of an apply; with an unknown write before, only a conflict or a fault says
 // that nothing was changed.
-func (s *notingStore) explain(err error, changeID string) error {
-	if !s.unknown || errors.Is(err, operate.ErrConflict) || errors.Is(err, rollout.ErrInvalid) {
+func (s *unknownWriteRecorder) wrapError(err error, changeID string) error {
+	if !s.unknownWrite || errors.Is(err, operate.ErrConflict) || errors.Is(err, rollout.ErrInvalid) {
 		return err
 	}
 	return fmt.Errorf("%w: the change may have been accepted; run again with --change-id %s: %w", metastore.ErrUnknownResult, changeID, err)
--- a/cmd/damaskctl/apply_test.go
+++ b/cmd/damaskctl/apply_test.go
@@ -18,25 +18,25 @@
 	"github.com/damaskcove/damaskcove/internal/operator/api"
 )
 
-// store is a platform's stand-in with the templates of one operator beside it.
-type store struct {
+// testStore is a platform's stand-in with the templates of one operator beside it.
+type testStore struct {
 	t        *testing.T
 	server   *standin.Server
 	template string
 }
 
-func newStore(t *testing.T) store {
+func newStore(t *testing.T) testStore {
 	t.Helper()
 	server, err := standin.Serve(standin.New(standin.Options{}), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = server.Close() })
-	return store{t: t, server: server}.operator()
+	return testStore{t: t, server: server}.withNewOperator()
 }
 
-// operator returns the same store with the templates of another operator.
-func (s store) operator() store {
+// withNewOperator returns the same store with the templates of another withNewOperator.
+func (s testStore) withNewOperator() testStore {
 	s.t.Helper()
 	data, err := os.ReadFile("../../examples/qalqan/templates.toml")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return s
 }
 
-func (s store) edit(from, to string) {
+func (s testStore) edit(from, to string) {
 	s.t.Helper()
 	data, err := os.ReadFile(s.template)
 	if err != nil {
@@ -59,11 +59,11 @@
 	writeFile(s.t, s.template, strings.Replace(string(data), from, to, 1))
 }
 
-func (s store) run(command string, flags ...string) outcome {
-	return ctl(context.Background(), append([]string{command, filepath.Dir(s.template), "--platform", s.server.Addr(), "--timeout", "10s"}, flags...)...)
+func (s testStore) run(command string, flags ...string) commandResult {
+	return runCommand(context.Background(), append([]string{command, filepath.Dir(s.template), "--platform", s.server.Addr(), "--timeout", "10s"}, flags...)...)
 }
 
-func (s store) config() *rollout.Config {
+func (s testStore) config() *rollout.Config {
 	s.t.Helper()
 	config, err := operate.Load(context.Background(), s.server.Platform(), "qalqan")
 	if err != nil {
@@ -72,7 +72,7 @@
 	return config
 }
 
-func (o outcome) want(t *testing.T, exit int, texts ...string) {
+func (o commandResult) expect(t *testing.T, exit int, texts ...string) {
 	t.Helper()
 	if o.exit != exit {
 		t.Fatalf("exit %d, want %d\n%s\n%s", o.exit, exit, o.stdout, o.stderr)
@@ -86,11 +86,11 @@
 
 func TestApplyChangesOnlyWhatWasEdited(t *testing.T) {
 	s := newStore(t)
-	s.run("apply").want(t, exitDone, "accepted as revision 1")
-	s.run("apply").want(t, exitDone, "nothing to change at revision 1")
+	s.run("apply").expect(t, exitDone, "accepted as revision 1")
+	s.run("apply").expect(t, exitDone, "nothing to change at revision 1")
 	s.edit("floor_slots = 27", "floor_slots = 30")
-	s.run("diff").want(t, exitDone, "changed here: 1", "floor_slots: 27 -> 30", "changed by others: 0")
-	s.run("apply").want(t, exitDone, "changes: 1", "accepted as revision 2")
+	s.run("diff").expect(t, exitDone, "changed here: 1", "floor_slots: 27 -> 30", "changed by others: 0")
+	s.run("apply").expect(t, exitDone, "changes: 1", "accepted as revision 2")
 	if got := s.config().Services["cuts"].FloorSlots; got != 30 {
 		t.Fatalf("floor %d", got)
 	}
@@ -98,15 +98,15 @@
 
 func TestTheLoserOfTwoOperatorsIsToldWhatTheOtherChanged(t *testing.T) {
 	a := newStore(t)
-	a.run("apply").want(t, exitDone)
-	b := a.operator()
-	b.run("apply").want(t, exitConflict, "--rebase")
-	b.run("apply", "--rebase").want(t, exitDone, "nothing to change")
+	a.run("apply").expect(t, exitDone)
+	b := a.withNewOperator()
+	b.run("apply").expect(t, exitConflict, "--rebase")
+	b.run("apply", "--rebase").expect(t, exitDone, "nothing to change")
 	b.edit("floor_slots = 27", "floor_slots = 30")
-	b.run("apply").want(t, exitDone, "revision 2")
+	b.run("apply").expect(t, exitDone, "revision 2")
 	a.edit("floor_slots = 27", "floor_slots = 21")
-	a.run("apply").want(t, exitConflict, "2201 config-conflict", "floor_slots: 27 -> 30")
-	a.run("diff").want(t, exitDone, "changed by others: 1")
+	a.run("apply").expect(t, exitConflict, "2201 config-conflict", "floor_slots: 27 -> 30")
+	a.run("diff").expect(t, exitDone, "changed by others: 1")
 	if got := a.config().Services["cuts"].FloorSlots; got != 30 {
 		t.Fatalf("floor %d after a conflict", got)
 	}
@@ -114,25 +114,25 @@
 
 func TestOperatorsWhoChangeDifferentTemplatesBothSucceed(t *testing.T) {
 	a := newStore(t)
-	a.run("apply").want(t, exitDone)
-	b := a.operator()
+	a.run("apply").expect(t, exitDone)
+	b := a.withNewOperator()
 	b.edit("floor_slots = 27", "floor_slots = 30")
-	b.run("apply", "--rebase").want(t, exitDone, "revision 2")
+	b.run("apply", "--rebase").expect(t, exitDone, "revision 2")
 	a.edit("weight = 4", "weight = 5")
-	a.run("apply").want(t, exitDone, "revision 3")
+	a.run("apply").expect(t, exitDone, "revision 3")
 	a.edit("weight = 5", "weight = 6")
-	a.run("apply").want(t, exitDone, "revision 4")
+	a.run("apply").expect(t, exitDone, "revision 4")
 	if got := a.config(); got.Services["cuts"].FloorSlots != 30 || got.Accounts["regional-warehouse"].Weight != 6 {
 		t.Fatalf("floor %d, weight %d", got.Services["cuts"].FloorSlots, got.Accounts["regional-warehouse"].Weight)
 	}
 	a.edit("floor_slots = 27", "floor_slots = 21")
-	a.run("apply").want(t, exitConflict, "floor_slots: 27 -> 30")
+	a.run("apply").expect(t, exitConflict, "floor_slots: 27 -> 30")
 }
 
 func TestALostReplyDoesNotChangeTwice(t *testing.T) {
 	s := newStore(t)
 	s.server.Platform().UpdateFaults(func(f *standin.Faults) { f.LoseReplies = 1 })
-	s.run("apply").want(t, exitDone, "accepted as revision 1")
+	s.run("apply").expect(t, exitDone, "accepted as revision 1")
 	if got := s.config().Revision; got != 1 {
 		t.Fatalf("revision %d", got)
 	}
@@ -141,20 +141,20 @@
 func TestAnUnknownResultIsSettledByTheChangeID(t *testing.T) {
 	s := newStore(t)
 	s.server.Platform().UpdateFaults(func(f *standin.Faults) { f.LoseReplies = 1_000_000 })
-	first := ctl(context.Background(), "apply", s.template, "--platform", s.server.Addr(), "--timeout", "10s", "--change-id", "c1")
-	first.want(t, exitDone, "accepted as revision 1")
+	first := runCommand(context.Background(), "apply", s.template, "--platform", s.server.Addr(), "--timeout", "10s", "--change-id", "c1")
+	first.expect(t, exitDone, "accepted as revision 1")
 	s.server.Platform().UpdateFaults(func(f *standin.Faults) { f.LoseReplies = 0; f.Store = standin.OutageDrop })
 	s.edit("floor_slots = 27", "floor_slots = 30")
-	ctl(context.Background(), "apply", s.template, "--platform", s.server.Addr(), "--timeout", "1s").want(t, exitUnavailable, "2400")
+	runCommand(context.Background(), "apply", s.template, "--platform", s.server.Addr(), "--timeout", "1s").expect(t, exitUnavailable, "2400")
 }
 
 func TestExplainOfAnUnknownWrite(t *testing.T) {
-	s := &notingStore{Store: standin.New(standin.Options{Faults: standin.Faults{LoseReplies: 1}})}
+	s := &unknownWriteRecorder{Store: standin.New(standin.Options{Faults: standin.Faults{LoseReplies: 1}})}
 	_, _ = s.CompareAndSwap(context.Background(), "k", 0, nil, 0)
-	if got := classify(s.explain(context.DeadlineExceeded, "c1")); got.exit != exitUnknown || !strings.Contains(got.Error(), "--change-id c1") {
+	if got := classify(s.wrapError(context.DeadlineExceeded, "c1")); got.exit != exitUnknown || !strings.Contains(got.Error(), "--change-id c1") {
 		t.Fatalf("%+v", got)
 	}
-	if got := classify(s.explain(&operate.ConflictError{}, "c1")); got.exit != exitConflict {
+	if got := classify(s.wrapError(&operate.ConflictError{}, "c1")); got.exit != exitConflict {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -184,29 +184,29 @@
 func TestApplyWaitsOrSaysWhoIsBehind(t *testing.T) {
 	s := newStore(t)
 	token := writeFile(t, filepath.Join(t.TempDir(), "token"), "secret\n")
-	s.run("apply", "--wait", "--operator", serveStatus(t, 1), "--token-file", token).want(t, exitDone, "in force on all 1 live instances")
+	s.run("apply", "--wait", "--operator", serveStatus(t, 1), "--token-file", token).expect(t, exitDone, "in force on all 1 live instances")
 	s.edit("floor_slots = 27", "floor_slots = 30")
-	s.run("apply", "--wait", "--operator", serveStatus(t, 1), "--token-file", token, "--timeout", "1s").want(t, exitBehind, "accepted as revision 2", "entry-9 at revision 1")
-	s.run("apply", "--wait", "--operator", serveStatus(t, 1)).want(t, exitNotAuthorized, "2502 not-authorized")
+	s.run("apply", "--wait", "--operator", serveStatus(t, 1), "--token-file", token, "--timeout", "1s").expect(t, exitBehind, "accepted as revision 2", "entry-9 at revision 1")
+	s.run("apply", "--wait", "--operator", serveStatus(t, 1)).expect(t, exitNotAuthorized, "2502 not-authorized")
 }
 
 func TestStatusAndExplainPrint(t *testing.T) {
 	t.Setenv(tokenVariable, "secret")
 	address := serveStatus(t, 4)
-	ctl(context.Background(), "status", "--operator", address).want(t, exitDone, "instance entry-9#1 of fleet qalqan", "entry-8")
-	ctl(context.Background(), "status", "--operator", address, "--report", "json").want(t, exitDone, `"revision":4`)
-	ctl(context.Background(), "explain", "/fabrics", "--account", "x", "--operator", address).want(t, exitDone, "carried here")
+	runCommand(context.Background(), "status", "--operator", address).expect(t, exitDone, "instance entry-9#1 of fleet qalqan", "entry-8")
+	runCommand(context.Background(), "status", "--operator", address, "--report", "json").expect(t, exitDone, `"revision":4`)
+	runCommand(context.Background(), "explain", "/fabrics", "--account", "x", "--operator", address).expect(t, exitDone, "carried here")
 }
 
 func TestManyDifferencesAreCutShort(t *testing.T) {
 	s := newStore(t)
 	var names []string
-	for i := range 2 * maxShown {
+	for i := range 2 * maxDifferences {
 		names = append(names, fmt.Sprintf("%q", fmt.Sprint("more-", i)))
 	}
 	s.edit("[accounts.tablets]", "[accounts.many]\ntemplate = \"tablet\"\nnames = ["+strings.Join(names, ", ")+"]\n[accounts.tablets]")
-	s.run("diff").want(t, exitDone, "more; --all shows them")
-	if got := s.run("diff", "--all"); strings.Count(got.stdout, "account more-") != 2*maxShown {
+	s.run("diff").expect(t, exitDone, "more; --all shows them")
+	if got := s.run("diff", "--all"); strings.Count(got.stdout, "account more-") != 2*maxDifferences {
 		t.Fatalf("%s", got.stdout)
 	}
 }
--- a/cmd/damaskctl/check.go
+++ b/cmd/damaskctl/check.go
@@ -74,12 +74,12 @@
 		return
 	}
 	slots := size.Endpoints * size.SlotsPerEndpoint
-	o := operating(s, size.Endpoints)
+	o := operatingPoint(s, size.Endpoints)
 	_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%g\t%.1f\t%v\t%v\n", s.Name, size.Endpoints, slots, s.FloorSlots, max(slots-s.FloorSlots, 0),
 		s.FalseEjectionsPerEndpointMonth, o.Limit, o.FailingDetectionTime.Round(10*time.Millisecond), o.SlowDetectionTime.Round(10*time.Millisecond))
 }
 
-func operating(s rollout.ServiceTemplate, endpoints int) health.OperatingPoint {
+func operatingPoint(s rollout.ServiceTemplate, endpoints int) health.OperatingPoint {
 	return health.Threshold(health.Parameters{
 		Service:                        fleet.Service(s.Name),
 		FloorSlots:                     s.FloorSlots,
--- a/cmd/damaskctl/demo.go
+++ b/cmd/damaskctl/demo.go
@@ -12,8 +12,8 @@
 	"github.com/damaskcove/damaskcove/internal/demo"
 )
 
-// errBroken says that the demo counted a broken promise.
-var errBroken = errors.New("a promise was broken")
+// errGuaranteeViolated says that the demo counted a broken promise.
+var errGuaranteeViolated = errors.New("a promise was broken")
 
 // defaultDemoDuration is the length of the demo without --duration.
 const defaultDemoDuration = 20 * time.Second
@@ -52,7 +52,7 @@
 				}
 			}
 			if !r.Kept() {
-				return fmt.Errorf("%w: see the counts above", errBroken)
+				return fmt.Errorf("%w: see the counts above", errGuaranteeViolated)
 			}
 			return nil
 		},
--- a/cmd/damaskctl/diff.go
+++ b/cmd/damaskctl/diff.go
@@ -22,7 +22,7 @@
 		Long: `diff compares the templates with the configuration in the store. It shows what you
 changed since you last applied them, and what others have changed since. It writes nothing.`,
 		Example: "  damaskctl diff examples/qalqan --platform 192.0.2.1:7070",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			set, err := template.Load(args[0])
 			if err != nil {
@@ -61,14 +61,14 @@
 	writeDifferences(w, "changed by others", rollout.Diff(base, current), all)
 }
 
-// maxShown bounds the differences that are shown of one kind, unless all are asked for.
-const maxShown = 100
+// maxDifferences bounds the differences that are shown of one kind, unless all are asked for.
+const maxDifferences = 100
 
 func writeDifferences(w io.Writer, title string, differences []rollout.Difference, all bool) {
 	_, _ = fmt.Fprintf(w, "%s: %d\n", title, len(differences))
 	for i, d := range differences {
-		if i == maxShown && !all {
-			_, _ = fmt.Fprintf(w, "  and %d more; --all shows them\n", len(differences)-maxShown)
+		if i == maxDifferences && !all {
+			_, _ = fmt.Fprintf(w, "  and %d more; --all shows them\n", len(differences)-maxDifferences)
 			return
 		}
 		_, _ = fmt.Fprintln(w, "  "+d.String())
--- a/cmd/damaskctl/explain.go
+++ b/cmd/damaskctl/explain.go
@@ -23,7 +23,7 @@
 		Long: `explain asks an instance which route, service, entries and endpoints a request would get,
 what each endpoint's state rests on, and when an ejected one may return. It sends no request.`,
 		Example: "  damaskctl explain /stock/amber --account amber-still --operator 192.0.2.11:8082 --token-file token",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if account == "" {
 				return usageError(fmt.Errorf("--account must be given"))
--- a/cmd/damaskctl/fleet_test.go
+++ b/cmd/damaskctl/fleet_test.go
@@ -64,10 +64,10 @@
 	}
 	file := writeFile(t, filepath.Join(dir, "templates.toml"), string(data))
 	operator := f.Instances()[0].Node().Status().Self.OperatorAddr
-	apply := func() outcome {
-		return ctl(context.Background(), "apply", dir, "--platform", f.PlatformAddr(), "--timeout", "1m", "--wait", "--operator", operator)
+	apply := func() commandResult {
+		return runCommand(context.Background(), "apply", dir, "--platform", f.PlatformAddr(), "--timeout", "1m", "--wait", "--operator", operator)
 	}
-	apply().want(t, exitDone, "accepted as revision 1", "in force on all")
+	apply().expect(t, exitDone, "accepted as revision 1", "in force on all")
 	ready, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if err := f.Ready(ready, 1); err != nil {
@@ -76,7 +76,7 @@
 
 	writeFile(t, file, strings.Replace(string(data), "floor_slots = 27", "floor_slots = 24", 1))
 	f.Platform.UpdateFaults(func(x *standin.Faults) { x.LoseReplies = 1 })
-	apply().want(t, exitDone, "floor_slots: 27 -> 24", "accepted as revision 2", "in force on all 4 live instances")
+	apply().expect(t, exitDone, "floor_slots: 27 -> 24", "accepted as revision 2", "in force on all 4 live instances")
 	for _, in := range f.Instances() {
 		if got := in.Node().Status().Revision; got != 2 {
 			t.Errorf("instance %s is at revision %d", in.ID, got)
@@ -84,13 +84,13 @@
 	}
 
 	var status api.Status
-	got := ctl(context.Background(), "status", "--operator", operator, "--report", "json")
-	got.want(t, exitDone)
+	got := runCommand(context.Background(), "status", "--operator", operator, "--report", "json")
+	got.expect(t, exitDone)
 	if err := json.Unmarshal([]byte(got.stdout), &status); err != nil || len(status.Members) != instances {
 		t.Fatalf("%d members, %v", len(status.Members), err)
 	}
-	ctl(context.Background(), "explain", "/fabrics/linen", "--account", "almaty-abay", "--operator", operator).want(t, exitDone, "1000 answered", "fabrics")
-	ctl(context.Background(), "explain", "/cuts", "--account", "fitters-almaty", "--method", "POST", "--operator", operator).want(t, exitDone, "1003")
+	runCommand(context.Background(), "explain", "/fabrics/linen", "--account", "almaty-abay", "--operator", operator).expect(t, exitDone, "1000 answered", "fabrics")
+	runCommand(context.Background(), "explain", "/cuts", "--account", "fitters-almaty", "--method", "POST", "--operator", operator).expect(t, exitDone, "1003")
 
 	entries := strings.Join(f.Entries(), ",")
 	for _, line := range [][]string{
@@ -98,8 +98,8 @@
 		{"--service", "cuts", "--path", "/cuts", "--account", "almaty-abay", "--method", "POST", "--keyed", "--body", "200"},
 	} {
 		args := append([]string{"load", "--entry", entries, "--rate", "50", "--duration", "500ms", "--warmup", "0s", "--report", "json"}, line...)
-		got := ctl(context.Background(), args...)
-		got.want(t, exitDone)
+		got := runCommand(context.Background(), args...)
+		got.expect(t, exitDone)
 		var report load.Report
 		if err := json.Unmarshal([]byte(got.stdout), &report); err != nil || report.Answered == 0 || report.Mixed != 0 || report.Unknown != 0 {
 			t.Errorf("%v: %s %v", line, got.stdout, err)
--- a/cmd/damaskctl/load.go
+++ b/cmd/damaskctl/load.go
@@ -34,7 +34,7 @@
 connects there. With --direct it sends to upstream endpoints in turn, to compare with.`,
 		Example: "  damaskctl load --entry 127.0.0.1:8080 --service stock --account amber-still --path /stock/amber --rate 200 --duration 30s\n" +
 			"  damaskctl load --direct 127.0.0.1:9001 --account amber-still --path /stock/amber --report json",
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			o.Service, o.Zone = fleet.Service(service), fleet.Zone(zone)
 			for _, account := range accounts {
--- a/cmd/damaskctl/main.go
+++ b/cmd/damaskctl/main.go
@@ -25,5 +25,5 @@
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
-	return report(stderr, root.ExecuteContext(ctx))
+	return reportError(stderr, root.ExecuteContext(ctx))
 }
--- a/cmd/damaskctl/main_test.go
+++ b/cmd/damaskctl/main_test.go
@@ -16,16 +16,16 @@
 	"github.com/damaskcove/damaskcove/internal/settings"
 )
 
-// outcome is what a command line gave.
-type outcome struct {
+// commandResult is what a command line gave.
+type commandResult struct {
 	exit           int
 	stdout, stderr string
 }
 
-func ctl(ctx context.Context, args ...string) outcome {
+func runCommand(ctx context.Context, args ...string) commandResult {
 	var stdout, stderr bytes.Buffer
 	exit := runContext(ctx, args, &stdout, &stderr)
-	return outcome{exit: exit, stdout: stdout.String(), stderr: stderr.String()}
+	return commandResult{exit: exit, stdout: stdout.String(), stderr: stderr.String()}
 }
 
 func writeFile(t *testing.T, path, text string) string {
@@ -50,7 +50,7 @@
 			continue
 		}
 		args := append(strings.Fields(c.CommandPath())[1:], "--help")
-		got := ctl(context.Background(), args...)
+		got := runCommand(context.Background(), args...)
 		if got.exit != exitDone || !strings.Contains(got.stdout, "Usage:") || !strings.Contains(got.stdout, "Examples:") {
 			t.Errorf("%v: exit %d, %s%s", args, got.exit, got.stdout, got.stderr)
 		}
@@ -84,16 +84,16 @@
 	}{
 		{[]string{"check", "../../examples/qalqan"}, exitDone, ""},
 		{[]string{"check", "--settings", goodSettings}, exitDone, ""},
-		{[]string{"check", badTemplates}, exitFaults, "2200 config-fault"},
-		{[]string{"check", filepath.Join(dir, "absent")}, exitFaults, "2200 config-fault"},
-		{[]string{"check", "--settings", badSettings}, exitFaults, "2500 settings-fault"},
+		{[]string{"check", badTemplates}, exitInvalidFile, "2200 config-fault"},
+		{[]string{"check", filepath.Join(dir, "absent")}, exitInvalidFile, "2200 config-fault"},
+		{[]string{"check", "--settings", badSettings}, exitInvalidFile, "2500 settings-fault"},
 		{[]string{"check"}, exitUsage, "give TEMPLATES"},
 		{[]string{"check", "--colour"}, exitUsage, "unknown flag"},
 		{[]string{"wash"}, exitUsage, "unknown command"},
 		{[]string{"diff"}, exitUsage, "accepts 1 arg"},
 		{[]string{"diff", "../../examples/qalqan", "--platform", "localhost:1"}, exitUsage, "no IP number"},
 		{[]string{"diff", "../../examples/qalqan", "--platform", "127.0.0.1:1", "--timeout", "1s"}, exitUnavailable, "2400 store-unavailable"},
-		{[]string{"apply", badTemplates, "--platform", "127.0.0.1:1"}, exitFaults, "2200 config-fault"},
+		{[]string{"apply", badTemplates, "--platform", "127.0.0.1:1"}, exitInvalidFile, "2200 config-fault"},
 		{[]string{"apply", "../../examples/qalqan", "--platform", "127.0.0.1:1", "--timeout", "0s"}, exitUsage, "must be over 0"},
 		{[]string{"apply", "../../examples/qalqan", "--platform", "127.0.0.1:1", "--wait"}, exitUsage, "--operator"},
 		{[]string{"status"}, exitUsage, "--operator"},
@@ -101,12 +101,12 @@
 		{[]string{"status", "--operator", "localhost:1"}, exitUsage, "no IP number"},
 		{[]string{"explain", "/stock", "--operator", "127.0.0.1:1"}, exitUsage, "--account"},
 		{[]string{"load"}, exitUsage, "account"},
-		{[]string{"standin", "platform", "--settings", badSettings}, exitFaults, "2500 settings-fault"},
+		{[]string{"standin", "platform", "--settings", badSettings}, exitInvalidFile, "2500 settings-fault"},
 		{[]string{"standin", "platform", "--settings", taken}, exitFailed, "2501 address-in-use"},
-		{[]string{"standin", "upstream", "--settings", badHost}, exitFaults, "groups[0].service"},
+		{[]string{"standin", "upstream", "--settings", badHost}, exitInvalidFile, "groups[0].service"},
 		{[]string{"standin", "upstream"}, exitUsage, "--settings"},
 	} {
-		got := ctl(context.Background(), step.args...)
+		got := runCommand(context.Background(), step.args...)
 		if got.exit != step.exit || !strings.Contains(got.stderr, step.want) {
 			t.Errorf("%v: exit %d, want %d with %q: %s", step.args, got.exit, step.exit, step.want, got.stderr)
 		}
@@ -114,7 +114,7 @@
 }
 
 func TestCheckPrintsWhatTheParametersMean(t *testing.T) {
-	got := ctl(context.Background(), "check", "../../examples/bunya-ridge")
+	got := runCommand(context.Background(), "check", "../../examples/bunya-ridge")
 	for _, want := range []string{"3 services", "drums", "score limit", "detects 30% failing", "80"} {
 		if !strings.Contains(got.stdout, want) {
 			t.Errorf("%q is not in\n%s", want, got.stdout)
--- a/cmd/damaskctl/root.go
+++ b/cmd/damaskctl/root.go
@@ -26,8 +26,8 @@
 	return root
 }
 
-// exactly returns a check of the number of arguments whose error is one of usage.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs returns a check of the number of arguments whose error is one of usage.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
 			return usageError(err)
--- a/cmd/damaskctl/standin.go
+++ b/cmd/damaskctl/standin.go
@@ -26,7 +26,7 @@
 		Long: `standin runs a small stand-in, so that a fleet can be tried on one machine. It keeps nothing
 when it ends, and has no protection: run it on loopback addresses only.`,
 		Example: "  damaskctl standin platform --settings platform.toml\n  damaskctl standin upstream --settings upstreams.toml",
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.AddCommand(newStandinPlatform(), newStandinUpstream())
@@ -52,7 +52,7 @@
 ` + standin.PathFaults + `, counts are told at ` + standin.PathCounts + `, and the list is set at ` + standin.PathListing + `.`,
 		Example: "  damaskctl standin platform --settings platform.toml\n" +
 			"  curl -X PUT -d '{\"store\":\"refuse\"}' http://127.0.0.1:7070" + standin.PathFaults,
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			s, err := readPlatformSettings(file)
 			if err != nil {
@@ -68,10 +68,10 @@
 func readPlatformSettings(file string) (platformSettings, error) {
 	s := platformSettings{Listen: "127.0.0.1:7070"}
 	err := readStandinSettings(file, &s, func(c *tomlfile.Collector) {
-		loopback(c, "listen", s.Listen)
-		notNegative(c, "list_lag", s.ListLag)
-		notNegative(c, "delay", s.Delay)
-		checkListed(c, s.Upstreams, s.Instances)
+		validateLoopback(c, "listen", s.Listen)
+		validateNotNegative(c, "list_lag", s.ListLag)
+		validateNotNegative(c, "delay", s.Delay)
+		validateListing(c, s.Upstreams, s.Instances)
 	})
 	return s, err
 }
--- a/cmd/damaskctl/standin_listing.go
+++ b/cmd/damaskctl/standin_listing.go
@@ -47,43 +47,43 @@
 	return l, len(s.Upstreams)+len(s.Instances) > 0
 }
 
-func checkListed(c *tomlfile.Collector, upstreams []upstreamSettings, instances []instanceSettings) {
+func validateListing(c *tomlfile.Collector, upstreams []upstreamSettings, instances []instanceSettings) {
 	for i, u := range upstreams {
 		key := fmt.Sprintf("upstreams[%d]", i)
-		notEmpty(c, key+".service", u.Service)
-		address(c, key+".address", u.Address)
+		validateNotEmpty(c, key+".service", u.Service)
+		validateAddress(c, key+".address", u.Address)
 		if u.Slots < 1 {
 			c.Add(key+".slots", fmt.Sprint(u.Slots), "must be at least 1")
 		}
 	}
 	for i, instance := range instances {
 		key := fmt.Sprintf("instances[%d]", i)
-		notEmpty(c, key+".id", instance.ID)
-		address(c, key+".entry", instance.Entry)
-		address(c, key+".peer", instance.Peer)
+		validateNotEmpty(c, key+".id", instance.ID)
+		validateAddress(c, key+".entry", instance.Entry)
+		validateAddress(c, key+".peer", instance.Peer)
 	}
 }
 
-func address(c *tomlfile.Collector, key, text string) {
+func validateAddress(c *tomlfile.Collector, key, text string) {
 	if _, err := netip.ParseAddrPort(text); err != nil {
 		c.Add(key, tomlfile.FormatValue(text), "must be an IP number and port; names are not taken")
 	}
 }
 
-func loopback(c *tomlfile.Collector, key, text string) {
+func validateLoopback(c *tomlfile.Collector, key, text string) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil || !addr.Addr().IsLoopback() {
 		c.Add(key, tomlfile.FormatValue(text), `must be a loopback IP number and port, as "127.0.0.1:7070"`)
 	}
 }
 
-func notEmpty(c *tomlfile.Collector, key, text string) {
+func validateNotEmpty(c *tomlfile.Collector, key, text string) {
 	if text == "" {
 		c.Add(key, "", "must be set")
 	}
 }
 
-func notNegative(c *tomlfile.Collector, key string, d time.Duration) {
+func validateNotNegative(c *tomlfile.Collector, key string, d time.Duration) {
 	if d < 0 {
 		c.Add(key, d.String(), "must not be negative")
 	}
@@ -92,7 +92,7 @@
 // addressError marks an address that is taken.
 func addressError(err error) error {
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return &failure{exit: exitFailed, code: result.CodeAddressInUse, err: err}
+		return &commandError{exit: exitFailed, code: result.CodeAddressInUse, err: err}
 	}
 	return err
 }
--- a/cmd/damaskctl/standin_test.go
+++ b/cmd/damaskctl/standin_test.go
@@ -20,8 +20,8 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// background runs a command until the test ends, and returns the last word of its first line.
-func background(t *testing.T, args ...string) string {
+// startCommand runs a command until the test ends, and returns the last word of its first line.
+func startCommand(t *testing.T, args ...string) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	reader, writer := io.Pipe()
@@ -87,7 +87,7 @@
 entry = "127.0.0.1:8080"
 peer = "127.0.0.1:8081"
 `)
-	platformAddr := background(t, "standin", "platform", "--settings", platformFile)
+	platformAddr := startCommand(t, "standin", "platform", "--settings", platformFile)
 	hostFile := writeFile(t, filepath.Join(dir, "host.toml"), `
 admin = "127.0.0.1:0"
 platform = "`+platformAddr+`"
@@ -100,7 +100,7 @@
 slots = 50
 median = "1ms"
 `)
-	admin := background(t, "standin", "upstream", "--settings", hostFile)
+	admin := startCommand(t, "standin", "upstream", "--settings", hostFile)
 
 	c := client.New(platformAddr, "test")
 	defer c.Close()
@@ -115,8 +115,8 @@
 		t.Fatalf("instances %v", listing.Instances)
 	}
 	endpoint := string(listing.Upstreams["stock"][0].Endpoint)
-	got := ctl(context.Background(), "load", "--direct", endpoint, "--account", "a", "--path", "/stock", "--rate", "200", "--duration", "200ms", "--warmup", "0s", "--report", "json")
-	got.want(t, exitDone)
+	got := runCommand(context.Background(), "load", "--direct", endpoint, "--account", "a", "--path", "/stock", "--rate", "200", "--duration", "200ms", "--warmup", "0s", "--report", "json")
+	got.expect(t, exitDone)
 	var report load.Report
 	if err := json.Unmarshal([]byte(got.stdout), &report); err != nil || report.Requests == 0 || report.Answered != report.Requests {
 		t.Fatalf("%s %v", got.stdout, err)
@@ -128,7 +128,7 @@
 	}
 	call(t, http.MethodPut, "http://"+admin+upstream.PathFaults+"?endpoint="+endpoint, `{"fail_share":1}`, nil)
 	call(t, http.MethodPost, "http://"+admin+upstream.PathReach+"?endpoint="+endpoint+"&from=127.0.0.1&reach=close", "", nil)
-	ctl(context.Background(), "load", "--direct", endpoint, "--account", "a", "--path", "/stock", "--duration", "100ms", "--warmup", "0s").want(t, exitDone, "no-answer")
+	runCommand(context.Background(), "load", "--direct", endpoint, "--account", "a", "--path", "/stock", "--duration", "100ms", "--warmup", "0s").expect(t, exitDone, "no-answer")
 	call(t, http.MethodPost, "http://"+admin+upstream.PathLeave+"?endpoint="+endpoint, "", nil)
 	for listing.Upstreams["stock"][0].State != fleet.UpstreamLeaving {
 		var err error
@@ -144,8 +144,8 @@
 }
 
 func TestLoadPrintsATable(t *testing.T) {
-	got := ctl(context.Background(), "load", "--direct", freeAddress(t), "--account", "a", "--path", "/", "--duration", "50ms", "--warmup", "0s")
-	got.want(t, exitDone, "from the drawn start", "no-answer")
+	got := runCommand(context.Background(), "load", "--direct", freeAddress(t), "--account", "a", "--path", "/", "--duration", "50ms", "--warmup", "0s")
+	got.expect(t, exitDone, "from the drawn start", "no-answer")
 }
 
 func TestSettingsOfTheLocalStandinsAreValid(t *testing.T) {
--- a/cmd/damaskctl/standin_upstream.go
+++ b/cmd/damaskctl/standin_upstream.go
@@ -65,7 +65,7 @@
 at ` + upstream.PathFaults + `, and an endpoint drains at ` + upstream.PathLeave + `.`,
 		Example: "  damaskctl standin upstream --settings upstreams.toml\n" +
 			"  curl -X PUT -d '{\"slow_factor\":10}' 'http://127.0.0.1:7071" + upstream.PathFaults + "?endpoint=127.0.0.1:9001'",
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if file == "" {
 				return usageError(fmt.Errorf("--settings must be given"))
@@ -84,9 +84,9 @@
 func readHostSettings(file string) (hostSettings, error) {
 	s := hostSettings{Admin: "127.0.0.1:7071", Seed: 1}
 	err := readStandinSettings(file, &s, func(c *tomlfile.Collector) {
-		loopback(c, "admin", s.Admin)
+		validateLoopback(c, "admin", s.Admin)
 		if s.Platform != "" {
-			loopback(c, "platform", s.Platform)
+			validateLoopback(c, "platform", s.Platform)
 		}
 		if len(s.Groups) == 0 {
 			c.Add("groups", "", "must hold at least one group")
@@ -99,8 +99,8 @@
 }
 
 func (g groupSettings) check(c *tomlfile.Collector, key string) {
-	notEmpty(c, key+".service", g.Service)
-	loopback(c, key+".first", g.First)
+	validateNotEmpty(c, key+".service", g.Service)
+	validateLoopback(c, key+".first", g.First)
 	if g.Count < 1 || g.Count > maxGroupEndpoints {
 		c.Add(key+".count", fmt.Sprint(g.Count), "is outside 1 to %d", maxGroupEndpoints)
 	}
@@ -110,9 +110,9 @@
 	if g.Slots < 0 {
 		c.Add(key+".slots", fmt.Sprint(g.Slots), "must not be negative")
 	}
-	notNegative(c, key+".median", g.Median)
-	notNegative(c, key+".cold_start", g.ColdStart)
-	notNegative(c, key+".lag", g.Lag)
+	validateNotNegative(c, key+".median", g.Median)
+	validateNotNegative(c, key+".cold_start", g.ColdStart)
+	validateNotNegative(c, key+".lag", g.Lag)
 }
 
 func runStandinUpstream(ctx context.Context, w io.Writer, s hostSettings) error {
--- a/cmd/damaskctl/status.go
+++ b/cmd/damaskctl/status.go
@@ -24,7 +24,7 @@
 		Short:   "Show how instances see the fleet, its services and their endpoints",
 		Long:    "status asks the operator endpoints of instances and prints what each sees. It goes on when one does not answer.",
 		Example: "  damaskctl status --operator 192.0.2.11:8082 --token-file token\n  damaskctl status --operator 192.0.2.11:8082 --report json",
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			clients, err := operators.open()
 			if err != nil {
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -18,12 +18,12 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, delay := range []time.Duration{0, 300 * time.Millisecond} {
 		for _, size := range []int{12, 24, 44} {
-			b.Run(fmt.Sprintf("instances=%d,store-delay=%v", size, delay), func(b *testing.B) { inForce(b, size, delay) })
+			b.Run(fmt.Sprintf("instances=%d,store-delay=%v", size, delay), func(b *testing.B) { benchmarkActivation(b, size, delay) })
 		}
 	}
 }
 
-func inForce(b *testing.B, size int, delay time.Duration) {
+func benchmarkActivation(b *testing.B, size int, delay time.Duration) {
 	store := standin.New(standin.Options{})
 	nodes := startAll(b, size, store)
 	if err := store.SetFaults(standin.Faults{Delay: delay}); err != nil {
@@ -33,7 +33,7 @@
 	for b.Loop() {
 		start := time.Now()
 		want := change(b, store, len(took), fmt.Sprint(len(took)))
-		waitFor(b, "change in force everywhere", everyone(nodes, func(n *instance) bool { return n.revision() >= want }))
+		waitFor(b, "change in force everywhere", allInstances(nodes, func(n *instance) bool { return n.revision() >= want }))
 		took = append(took, time.Since(start))
 	}
 	slices.Sort(took)
@@ -51,7 +51,7 @@
 	for i := range size {
 		nodes = append(nodes, net.start(b, i, hints, store))
 	}
-	waitFor(b, "all on the roster", everyone(nodes, func(n *instance) bool {
+	waitFor(b, "all on the roster", allInstances(nodes, func(n *instance) bool {
 		s := n.members.Snapshot()
 		return s.Joined && len(s.Roster.Instances) == size
 	}))
@@ -72,7 +72,7 @@
 			store := standin.New(standin.Options{})
 			nodes := startAll(b, 12, store)
 			want := change(b, store, 1, "one")
-			waitFor(b, "change in force everywhere", everyone(nodes, func(n *instance) bool { return n.revision() == want }))
+			waitFor(b, "change in force everywhere", allInstances(nodes, func(n *instance) bool { return n.revision() == want }))
 			if err := store.SetFaults(standin.Faults{Store: outage}); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,15 +25,15 @@
 const (
 	// DefaultWatchersPerZone is the number of instances of each zone that watch the store.
 	DefaultWatchersPerZone = 2
-	// startPeers is the number of instances that one without neighbours asks.
-	startPeers = 6
+	// joinPeers is the number of instances that one without neighbours asks.
+	joinPeers = 6
 	// refreshInterval is the time between two questions of an instance that is not on the roster.
 	refreshInterval = 2 * time.Second
 	// pollPerInstance is the time for which each instance of the fleet adds to the time between
 	// two reads of the head by one instance, so that the fleet's rate is one per pollPerInstance.
 	pollPerInstance = time.Second
-	// minPoll is the least time between two such reads.
-	minPoll = 15 * time.Second
+	// minPollInterval is the least time between two such reads.
+	minPollInterval = 15 * time.Second
 )
 
 // Options are the settings of a Duty.
@@ -54,18 +54,18 @@
 
 // Duty keeps one instance's configuration.
 type Duty struct {
-	o       Options
-	ctx     context.Context
-	machine *rollout.Machine
-	store   *storecall.Store
-	current atomic.Pointer[rollout.Config]
-	seen    *members.Snapshot
-	hints   []fleet.Instance
-	watch   context.CancelFunc // Ends the watch; nil without one.
-	pollAt  time.Time
-	askAt   time.Time
-	last    rollout.Counters
-	refused refusals.Tally
+	o                Options
+	ctx              context.Context
+	machine          *rollout.Machine
+	store            *storecall.Store
+	current          atomic.Pointer[rollout.Config]
+	snapshot         *members.Snapshot
+	joinCandidates   []fleet.Instance
+	cancelWatch      context.CancelFunc // Ends the watch; nil without one.
+	pollAt           time.Time
+	refreshedAt      time.Time
+	reportedCounters rollout.Counters
+	rejections       refusals.Tally
 }
 
 // New returns the duty of an instance without a configuration. ctx bounds its calls of the store.
@@ -92,7 +92,7 @@
 
 // Watching reports whether this instance watches the store. It must run on the control goroutine.
 func (d *Duty) Watching() bool {
-	return d.watch != nil
+	return d.cancelWatch != nil
 }
 
 // Counters returns the machine's counts. It must run on the control goroutine.
@@ -103,8 +103,8 @@
 // Start takes the platform's list, whose instances are asked for a configuration until this one
 // is on the roster. It must run on the control goroutine.
 func (d *Duty) Start(now time.Time, hints []fleet.Instance) {
-	d.hints = hints
-	d.follow(now)
+	d.joinCandidates = hints
+	d.applySnapshot(now)
 	d.run(now, d.machine.Tick(now))
 }
 
@@ -125,8 +125,8 @@
 
 // Tick implements control.Duty.
 func (d *Duty) Tick(now time.Time) {
-	if d.o.Members.Snapshot() != d.seen {
-		d.follow(now)
+	if d.o.Members.Snapshot() != d.snapshot {
+		d.applySnapshot(now)
 	}
 	if ahead, revision, ok := d.o.Members.Ahead(); ok {
 		d.run(now, d.machine.PeerRevision(now, ahead.Ref, revision))
@@ -164,10 +164,10 @@
 
 // refresh asks a peer while this instance is off the roster and nobody sends it heartbeats.
 func (d *Duty) refresh(now time.Time) {
-	if d.seen.Joined || now.Sub(d.askAt) < refreshInterval {
+	if d.snapshot.Joined || now.Sub(d.refreshedAt) < refreshInterval {
 		return
 	}
-	d.askAt = now
+	d.refreshedAt = now
 	d.run(now, d.machine.Refresh(now))
 }
 
@@ -176,7 +176,7 @@
 	if now.Before(d.pollAt) {
 		return
 	}
-	interval := max(time.Duration(len(d.seen.Members))*pollPerInstance, minPoll)
+	interval := max(time.Duration(len(d.snapshot.Members))*pollPerInstance, minPollInterval)
 	first := d.pollAt.IsZero()
 	d.pollAt = now.Add(interval/2 + time.Duration(d.o.Random.Int64N(int64(interval))))
 	if !first {
@@ -187,11 +187,11 @@
 // report counts and logs what the machine has refused since the last call.
 func (d *Duty) report() {
 	c := d.machine.Counters()
-	if c == d.last {
+	if c == d.reportedCounters {
 		return
 	}
-	d.last = c
-	refused := d.refused.Report(map[result.Code]uint64{
+	d.reportedCounters = c
+	refused := d.rejections.Report(map[result.Code]uint64{
 		result.CodePeerOtherFleet: c.OtherFleet,
 		result.CodePeerMalformed:  c.Malformed + c.Unsolicited,
 		result.CodeConfigDigest:   c.WrongDigest,
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -21,8 +21,8 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// patience bounds how long a test waits for something that must happen.
-const patience = 90 * time.Second
+// waitTimeout bounds how long a test waits for something that must happen.
+const waitTimeout = 90 * time.Second
 
 // pollInterval is the time between two looks at a condition.
 const pollInterval = 2 * time.Millisecond
@@ -88,7 +88,7 @@
 	})
 	node.config = config.New(ctx, config.Options{
 		Keys: storekeys.Keys{Fleet: "f"}, Random: random, Loop: loop, Sender: link{n, self.Ref},
-		Store: store, Budget: budget, Members: node.members, OnApply: node.note,
+		Store: store, Budget: budget, Members: node.members, OnApply: node.recordApplied,
 	})
 	loop.Add(node.members)
 	loop.Add(node.config)
@@ -103,7 +103,7 @@
 	return node
 }
 
-func (i *instance) note(_ time.Time, c *rollout.Config) {
+func (i *instance) recordApplied(_ time.Time, c *rollout.Config) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.applied = append(i.applied, c.Revision)
@@ -118,16 +118,16 @@
 
 func waitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for !done() {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-func everyone(nodes []*instance, holds func(*instance) bool) func() bool {
+func allInstances(nodes []*instance, holds func(*instance) bool) func() bool {
 	return func() bool {
 		for _, n := range nodes {
 			if !holds(n) {
@@ -163,13 +163,13 @@
 	for i := range 9 {
 		nodes = append(nodes, net.start(t, i, hints, store))
 	}
-	waitFor(t, "all nine on the roster", everyone(nodes, func(n *instance) bool {
+	waitFor(t, "all nine on the roster", allInstances(nodes, func(n *instance) bool {
 		s := n.members.Snapshot()
 		return s.Joined && len(s.Roster.Instances) == 9
 	}))
 	for k := range 3 {
 		want := change(t, store, k, fmt.Sprint(k))
-		waitFor(t, "change in force everywhere", everyone(nodes, func(n *instance) bool { return n.revision() == want }))
+		waitFor(t, "change in force everywhere", allInstances(nodes, func(n *instance) bool { return n.revision() == want }))
 	}
 	if err := store.SetFaults(standin.Faults{Store: standin.OutageRefuse}); err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 	}
 	nodes = append(nodes, late)
 	want := change(t, store, 9, "after")
-	waitFor(t, "change after the outage in force", everyone(nodes, func(n *instance) bool {
+	waitFor(t, "change after the outage in force", allInstances(nodes, func(n *instance) bool {
 		return n.revision() == want && len(n.members.Snapshot().Roster.Instances) == 10
 	}))
 	for _, n := range nodes {
@@ -205,7 +205,7 @@
 	for i := range 3 {
 		nodes = append(nodes, net.start(t, i, hints, store))
 	}
-	waitFor(t, "all three on the roster", everyone(nodes, func(n *instance) bool {
+	waitFor(t, "all three on the roster", allInstances(nodes, func(n *instance) bool {
 		s := n.members.Snapshot()
 		return s.Joined && len(s.Roster.Instances) == 3 && s.Map.Len() == 3
 	}))
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -8,21 +8,21 @@
 	"github.com/damaskcove/damaskcove/internal/members"
 )
 
-// follow takes the peers and the part as watcher from the latest snapshot of the members.
-func (d *Duty) follow(now time.Time) {
+// applySnapshot takes the peers and the part as watcher from the latest snapshot of the members.
+func (d *Duty) applySnapshot(now time.Time) {
 	s := d.o.Members.Snapshot()
-	d.seen = s
+	d.snapshot = s
 	d.machine.SetSelf(s.Self.Ref)
 	watcher := d.isWatcher(s)
 	d.machine.SetPeers(d.peers(s), watcher)
 	switch {
-	case watcher && d.watch == nil:
+	case watcher && d.cancelWatch == nil:
 		ctx, cancel := context.WithCancel(d.ctx)
-		d.watch = cancel
+		d.cancelWatch = cancel
 		go d.watchHead(ctx)
-	case !watcher && d.watch != nil:
-		d.watch()
-		d.watch = nil
+	case !watcher && d.cancelWatch != nil:
+		d.cancelWatch()
+		d.cancelWatch = nil
 	}
 }
 
@@ -45,13 +45,13 @@
 		return refsOf(d.o.Members.Neighbours())
 	}
 	candidates := append([]fleet.Instance(nil), s.Map.Instances()...)
-	candidates = append(candidates, d.hints...)
+	candidates = append(candidates, d.joinCandidates...)
 	d.o.Random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	return refsOf(spread(candidates, s.Self, startPeers))
+	return refsOf(selectAcrossZones(candidates, s.Self, joinPeers))
 }
 
-// spread returns count instances other than self, taking the zones in turns.
-func spread(candidates []fleet.Instance, self fleet.Instance, count int) []fleet.Instance {
+// selectAcrossZones returns count instances other than self, taking the zones in turns.
+func selectAcrossZones(candidates []fleet.Instance, self fleet.Instance, count int) []fleet.Instance {
 	var chosen []fleet.Instance
 	perZone := make(map[fleet.Zone]int)
 	taken := map[fleet.InstanceID]bool{self.Ref.ID: true}
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -109,7 +109,7 @@
 	if len(rollout.Diff(applied, accepted)) == 0 {
 		base.Revision = accepted.Revision
 	}
-	data, err := packed(base)
+	data, err := compressBase(base)
 	if err != nil {
 		return fmt.Errorf("encode base: %w", err)
 	}
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// packed returns a base as compressed JSON.
-func packed(base rollout.Config) ([]byte, error) {
+// compressBase returns a base as compressed JSON.
+func compressBase(base rollout.Config) ([]byte, error) {
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
 	if err := json.NewEncoder(w).Encode(base); err != nil {
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -54,10 +54,10 @@
 	AlreadyAccepted bool            // It had been accepted by an earlier call.
 }
 
-// retryMin and retryMax bound the time before a failed call of the store is repeated.
+// minBackoff and maxBackoff bound the time before a failed call of the store is repeated.
 const (
-	retryMin = 50 * time.Millisecond
-	retryMax = 2 * time.Second
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
 // Load reads the configuration. It is nil when there is none yet.
@@ -77,10 +77,10 @@
 		return Accepted{}, ErrNoChange
 	}
 	s := session{store: store, keys: storekeys.Keys{Fleet: fleetName}}
-	backoff := retryMin
+	backoff := minBackoff
 	for {
 		accepted, seen, err := s.attempt(ctx, base, change)
-		if err == nil || !retryable(err) {
+		if err == nil || !isRetryable(err) {
 			return accepted, err
 		}
 		if base == nil {
@@ -89,13 +89,13 @@
 		if !pause(ctx, backoff) {
 			return Accepted{}, fmt.Errorf("change %q: %w", changeID, err)
 		}
-		backoff = min(2*backoff, retryMax)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// retryable reports whether a call may succeed when it is repeated. A lost reply and a
+// isRetryable reports whether a call may succeed when it is repeated. A lost reply and a
 // conflict are settled by reading the head again.
-func retryable(err error) bool {
+func isRetryable(err error) bool {
 	var faults *rollout.ValidationError
 	var conflict *ConflictError
 	switch {
@@ -132,23 +132,23 @@
 	if r, ok := state.head.RevisionOf(change.ID); ok {
 		return Accepted{Revision: r, Config: state.config, AlreadyAccepted: true}, state.config, nil
 	}
-	if err := conflict(base, state.config, change); err != nil {
+	if err := checkConflict(base, state.config, change); err != nil {
 		return Accepted{}, state.config, err
 	}
 	next, shards, err := rollout.Propose(state.head, state.config, change)
 	if err != nil {
 		return Accepted{}, state.config, err
 	}
-	if err := s.accept(ctx, state, next, shards); err != nil {
+	if err := s.commit(ctx, state, next, shards); err != nil {
 		return Accepted{}, state.config, err
 	}
 	s.retire(ctx, rollout.RetiredShards(state.head, next))
 	return Accepted{Revision: next.Revision, Config: state.config.With(change, next.Revision)}, state.config, nil
 }
 
-// conflict returns a ConflictError when a template that the change touches differs between
+// checkConflict returns a ConflictError when a template that the change touches differs between
 // base and current.
-func conflict(base, current *rollout.Config, change rollout.Change) error {
+func checkConflict(base, current *rollout.Config, change rollout.Change) error {
 	if base == nil || current == nil || base.Revision == current.Revision {
 		return nil
 	}
--- a/internal/operate/session.go
+++ b/internal/operate/session.go
@@ -11,8 +11,8 @@
 	"github.com/damaskcove/damaskcove/internal/storekeys"
 )
 
-// retiredFor is the time for which a shard that left the head stays readable.
-const retiredFor = time.Hour
+// retiredShardTTL is the time for which a shard that left the head stays readable.
+const retiredShardTTL = time.Hour
 
 // session makes the calls of the store for one fleet.
 type session struct {
@@ -58,8 +58,8 @@
 	return rollout.Assemble(head, func(d rollout.Digest) []byte { return shards[d] })
 }
 
-// accept writes the shards and then swaps the head.
-func (s session) accept(ctx context.Context, held state, next rollout.Head, shards []rollout.Shard) error {
+// commit writes the shards and then swaps the head.
+func (s session) commit(ctx context.Context, held state, next rollout.Head, shards []rollout.Shard) error {
 	data, err := rollout.EncodeHead(next)
 	if err != nil {
 		return err
@@ -90,7 +90,7 @@
 	if len(digests) == 0 {
 		return
 	}
-	lease, err := s.store.GrantLease(ctx, retiredFor)
+	lease, err := s.store.GrantLease(ctx, retiredShardTTL)
 	if err != nil {
 		return
 	}
--- a/internal/operator/query/follow.go
+++ b/internal/operator/query/follow.go
@@ -16,8 +16,8 @@
 
 // Bounds of Follow.
 const (
-	pollInterval = 200 * time.Millisecond // Between two rounds.
-	parallel     = 64                     // Instances asked at once.
+	pollInterval        = 200 * time.Millisecond // Between two rounds.
+	maxParallelRequests = 64                     // Instances asked at once.
 )
 
 // Values of api.Member.Status that Follow reads.
@@ -67,16 +67,16 @@
 // first clients tell who is live; then each live instance is asked itself. It returns the number
 // of live instances, or a *BehindError, or ErrNotAuthorized.
 func WaitForRevision(ctx context.Context, first []*Client, revision fleet.Revision) (int, error) {
-	f := follower{first: first, revision: revision, has: make(map[fleet.Ref]fleet.Revision)}
+	f := waiter{first: first, revision: revision, reported: make(map[fleet.Ref]fleet.Revision)}
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		// A round that has begun is let finish after ctx has ended: it says who is behind.
-		live, err := f.members(context.WithoutCancel(ctx))
+		live, err := f.liveInstances(context.WithoutCancel(ctx))
 		if errors.Is(err, ErrNotAuthorized) {
 			return 0, err
 		}
-		behind := f.round(context.WithoutCancel(ctx), live)
+		behind := f.poll(context.WithoutCancel(ctx), live)
 		if len(live) > 0 && len(behind) == 0 {
 			return len(live), nil
 		}
@@ -88,16 +88,16 @@
 	}
 }
 
-// follower follows one revision.
-type follower struct {
+// waiter follows one revision.
+type waiter struct {
 	first    []*Client
 	revision fleet.Revision
-	has      map[fleet.Ref]fleet.Revision // Highest revision that each instance has reported.
+	reported map[fleet.Ref]fleet.Revision // Highest revision that each instance has reported.
 }
 
-// members returns the live instances that the first clients know of. An instance that all of them
+// liveInstances returns the live instances that the first clients know of. An instance that all of them
 // think dead or leaving does not count.
-func (f *follower) members(ctx context.Context) ([]fleet.Instance, error) {
+func (f *waiter) liveInstances(ctx context.Context) ([]fleet.Instance, error) {
 	type answer struct {
 		status api.Status
 		err    error
@@ -113,7 +113,7 @@
 			failed = firstError(failed, a.err)
 			continue
 		}
-		f.note(a.status.Self.Ref, a.status.Revision)
+		f.record(a.status.Self.Ref, a.status.Revision)
 		if a.status.Phase != api.PhaseStopping {
 			live[a.status.Self.Ref] = a.status.Self
 		}
@@ -139,15 +139,15 @@
 	return first
 }
 
-func (f *follower) note(ref fleet.Ref, revision fleet.Revision) {
-	f.has[ref] = max(f.has[ref], revision)
+func (f *waiter) record(ref fleet.Ref, revision fleet.Revision) {
+	f.reported[ref] = max(f.reported[ref], revision)
 }
 
-// round asks each live instance that is behind, and returns those that still are.
-func (f *follower) round(ctx context.Context, live []fleet.Instance) []BehindInstance {
+// poll asks each live instance that is behind, and returns those that still are.
+func (f *waiter) poll(ctx context.Context, live []fleet.Instance) []BehindInstance {
 	var due []fleet.Instance
 	for _, instance := range live {
-		if f.has[instance.Ref] < f.revision {
+		if f.reported[instance.Ref] < f.revision {
 			due = append(due, instance)
 		}
 	}
@@ -155,9 +155,9 @@
 		inForce api.ActiveConfig
 		err     error
 	}
-	mapper := iter.Mapper[fleet.Instance, answer]{MaxGoroutines: parallel}
+	mapper := iter.Mapper[fleet.Instance, answer]{MaxGoroutines: maxParallelRequests}
 	answers := mapper.Map(due, func(instance *fleet.Instance) answer {
-		inForce, err := f.ask(ctx, *instance)
+		inForce, err := f.request(ctx, *instance)
 		return answer{inForce, err}
 	})
 	var behind []BehindInstance
@@ -168,12 +168,12 @@
 		case a.err != nil:
 			cause = a.err.Error()
 		case a.inForce.Self == ref:
-			f.note(ref, a.inForce.Revision)
+			f.record(ref, a.inForce.Revision)
 		default:
 			cause = fmt.Sprintf("its address is now %v's", a.inForce.Self)
 		}
-		if f.has[ref] < f.revision {
-			behind = append(behind, BehindInstance{Instance: ref.ID, Revision: f.has[ref], Cause: cause})
+		if f.reported[ref] < f.revision {
+			behind = append(behind, BehindInstance{Instance: ref.ID, Revision: f.reported[ref], Cause: cause})
 		}
 	}
 	return behind
@@ -182,7 +182,7 @@
 // errNoOperatorAddr says that an instance does not tell where it can be asked.
 var errNoOperatorAddr = errors.New("its operator address is not known")
 
-func (f *follower) ask(ctx context.Context, instance fleet.Instance) (api.ActiveConfig, error) {
+func (f *waiter) request(ctx context.Context, instance fleet.Instance) (api.ActiveConfig, error) {
 	if instance.OperatorAddr == "" {
 		return api.ActiveConfig{}, errNoOperatorAddr
 	}
--- a/internal/operator/query/query_test.go
+++ b/internal/operator/query/query_test.go
@@ -19,9 +19,9 @@
 
 // fakeInstance serves a status that a test changes.
 type fakeInstance struct {
-	status atomic.Pointer[api.Status]
-	asked  atomic.Int64
-	client *Client
+	status   atomic.Pointer[api.Status]
+	requests atomic.Int64
+	client   *Client
 }
 
 func newInstance(t *testing.T, id fleet.InstanceID, revision fleet.Revision) *fakeInstance {
@@ -54,7 +54,7 @@
 }
 
 func (f *fakeInstance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.asked.Add(1)
+	f.requests.Add(1)
 	if r.Header.Get("Authorization") != "Bearer "+token {
 		w.WriteHeader(http.StatusUnauthorized)
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-func ended() context.Context {
+func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
@@ -80,14 +80,14 @@
 	a, b, c, d, e := newInstance(t, "a", 5), newInstance(t, "b", 4), newInstance(t, "c", 4), newInstance(t, "d", 1), newInstance(t, "e", 1)
 	a.set(5, b.member("alive"), c.member("suspect"), d.member("dead"), e.member("leaving"))
 	go func() {
-		for b.asked.Load()+c.asked.Load() < 2 {
+		for b.requests.Load()+c.requests.Load() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		b.set(5)
 		c.set(6)
 	}()
 	live, err := WaitForRevision(context.Background(), []*Client{a.client}, 5)
-	if err != nil || live != 3 || d.asked.Load()+e.asked.Load() != 0 {
+	if err != nil || live != 3 || d.requests.Load()+e.requests.Load() != 0 {
 		t.Fatalf("%d live, %v", live, err)
 	}
 }
@@ -98,7 +98,7 @@
 	replaced := b.member("alive")
 	replaced.Instance.Ref.Incarnation = 9
 	a.set(5, b.member("alive"), c.member("alive"), silent, replaced)
-	_, err := WaitForRevision(ended(), []*Client{a.client}, 5)
+	_, err := WaitForRevision(canceledContext(), []*Client{a.client}, 5)
 	var behind *BehindError
 	if !errors.As(err, &behind) || behind.Live != 5 || len(behind.Behind) != 3 {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := WaitForRevision(ended(), []*Client{client}, 1); !errors.Is(err, ErrBehind) || !strings.Contains(err.Error(), "no instance answered") {
+	if _, err := WaitForRevision(canceledContext(), []*Client{client}, 1); !errors.Is(err, ErrBehind) || !strings.Contains(err.Error(), "no instance answered") {
 		t.Fatal(err)
 	}
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -49,10 +49,10 @@
 	s := &Server{source: source, token: sha256.Sum256([]byte(token)), listener: listener}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathHealth, s.health)
-	mux.HandleFunc("GET "+api.PathStatus, s.guard(s.status))
-	mux.HandleFunc("GET "+api.PathActiveConfig, s.guard(s.inForce))
-	mux.HandleFunc("GET "+api.PathExplain, s.guard(s.explain))
-	mux.HandleFunc("GET "+api.PathMetrics, s.guard(expvar.Handler().ServeHTTP))
+	mux.HandleFunc("GET "+api.PathStatus, s.requireToken(s.status))
+	mux.HandleFunc("GET "+api.PathActiveConfig, s.requireToken(s.inForce))
+	mux.HandleFunc("GET "+api.PathExplain, s.requireToken(s.explain))
+	mux.HandleFunc("GET "+api.PathMetrics, s.requireToken(expvar.Handler().ServeHTTP))
 	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	return s, nil
 }
@@ -78,21 +78,21 @@
 	return fmt.Errorf("serve operators on %q: %w", s.Addr(), err)
 }
 
-// guard refuses requests without the token. Digests are compared so that the time
+// requireToken refuses requests without the token. Digests are compared so that the time
 // taken tells nothing of the token's length.
-func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		got := sha256.Sum256([]byte(token))
 		if subtle.ConstantTimeCompare(got[:], s.token[:]) != 1 {
-			refuse(w)
+			writeNotAuthorized(w)
 			return
 		}
 		next(w, r)
 	}
 }
 
-func refuse(w http.ResponseWriter) {
+func writeNotAuthorized(w http.ResponseWriter) {
 	entry, _ := result.Lookup(result.CodeNotAuthorized)
 	http.Error(w, fmt.Sprintf("%d %s: %s", entry.Code, entry.Name, entry.Text), entry.Status)
 }
--- a/internal/settings/address.go
+++ b/internal/settings/address.go
@@ -6,40 +6,40 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// listenAddress wants an IP number and a port, which may be 0 for a free one.
-func listenAddress(c *tomlfile.Collector, key, text string) {
+// validateListenAddress checks for an IP address and port. Port 0 picks a free one.
+func validateListenAddress(c *tomlfile.Collector, key, text string) {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		c.Add(key, tomlfile.FormatValue(text), `must be an IP number and port, as "192.0.2.7:8080"; names are not taken`)
+		c.Add(key, tomlfile.FormatValue(text), `must be an IP address and port, such as "192.0.2.7:8080"; host names are not accepted`)
 	}
 }
 
-// remoteAddress wants an IP number and a port to connect to.
-func remoteAddress(c *tomlfile.Collector, key, text string) {
+// validateRemoteAddress checks for an IP address and port that can be connected to.
+func validateRemoteAddress(c *tomlfile.Collector, key, text string) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		c.Add(key, tomlfile.FormatValue(text), `must be an IP number and port, as "192.0.2.7:8080"; names are not taken`)
+		c.Add(key, tomlfile.FormatValue(text), `must be an IP address and port, such as "192.0.2.7:8080"; host names are not accepted`)
 		return
 	}
 	if addr.Port() == 0 || addr.Addr().IsUnspecified() {
-		c.Add(key, tomlfile.FormatValue(text), "must name one address and a port other than 0")
+		c.Add(key, tomlfile.FormatValue(text), "must be a specific address, and its port must not be 0")
 	}
 }
 
-// advertised wants an address that others can connect to. It may be empty when the listening
-// address takes any free port, which must then be on one IP number.
-func advertised(c *tomlfile.Collector, key, text, listening string) {
+// validateAdvertised checks for an address that others can connect to. It may be empty when
+// listening has port 0, in which case listening must have a specific IP address.
+func validateAdvertised(c *tomlfile.Collector, key, text, listening string) {
 	if text == listening || text == "" {
 		if addr, err := netip.ParseAddrPort(listening); err == nil && addr.Addr().IsUnspecified() {
-			c.Add(key, tomlfile.FormatValue(text), "must be set to an address that others can connect to: %s is every address", listening)
+			c.Add(key, tomlfile.FormatValue(text), "must be set to an address that others can connect to, since %s listens on all addresses", listening)
 		}
 		return
 	}
-	remoteAddress(c, key, text)
+	validateRemoteAddress(c, key, text)
 }
 
-func distinct(c *tomlfile.Collector, key, text, otherKey, other string) {
+func validateDistinct(c *tomlfile.Collector, key, text, otherKey, other string) {
 	addr, err := netip.ParseAddrPort(text)
 	if err == nil && addr.Port() != 0 && text == other {
-		c.Add(key, tomlfile.FormatValue(text), "is %s too", otherKey)
+		c.Add(key, tomlfile.FormatValue(text), "is also the value of %s", otherKey)
 	}
 }
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,7 +1,7 @@
 // Package settings reads the settings of one instance of the daemon.
 //
-// Load goes through four steps: defaults, the TOML file, provision (files that the
-// settings name are read), validation. It returns settings that are whole, or a
-// *tomlfile.ValidationError that lists every fault with file, key, value and bound. Secrets are
-// never shown.
+// Load applies the defaults, decodes the TOML file over them, reads the files that the
+// settings refer to, and validates the result. It returns complete settings, or a
+// *tomlfile.ValidationError that lists every invalid setting with its file, key, value and
+// bound. Errors never contain secrets.
 package settings
--- a/internal/settings/example.go
+++ b/internal/settings/example.go
@@ -2,7 +2,7 @@
 
 import _ "embed"
 
-// Example is a commented settings file that shows every default.
+// Example is a commented settings file that contains every default.
 //
 //go:embed example.toml
 var Example []byte
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -15,10 +15,10 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// MaxFileBytes bounds a settings file and each file that it names.
+// MaxFileBytes is the maximum size of a settings file and of each file that it refers to.
 const MaxFileBytes = 1 << 20
 
-// Load reads the settings in a file. Files that the settings name are looked for from
+// Load reads settings from a file. Relative paths in the settings are resolved against
 // the settings file's directory. The error is a *tomlfile.ValidationError.
 func Load(path string) (*Settings, error) {
 	data, err := readFile(path)
@@ -28,12 +28,12 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings from the bytes of a file that is named path.
+// Parse reads settings from data, the contents of the file at path.
 func Parse(path string, data []byte) (*Settings, error) {
 	c := &tomlfile.Collector{File: path}
 	s := Default()
 	tomlfile.Decode(c, data, &s)
-	s.fillIn()
+	s.setAdvertisedDefaults()
 	s.provision(c, filepath.Dir(path))
 	s.validate(c)
 	if err := c.Err(); err != nil {
@@ -42,16 +42,17 @@
 	return &s, nil
 }
 
-// fillIn sets the values that follow from others.
-func (s *Settings) fillIn() {
+// setAdvertisedDefaults derives the advertised addresses that are not set from the listening ones.
+func (s *Settings) setAdvertisedDefaults() {
 	l := &s.Listen
-	l.EntryAdvertised = advertisedOr(l.EntryAdvertised, l.Entry)
-	l.PeerAdvertised = advertisedOr(l.PeerAdvertised, l.Peer)
-	l.OperatorAdvertised = advertisedOr(l.OperatorAdvertised, l.Operator)
+	l.EntryAdvertised = advertisedOrListening(l.EntryAdvertised, l.Entry)
+	l.PeerAdvertised = advertisedOrListening(l.PeerAdvertised, l.Peer)
+	l.OperatorAdvertised = advertisedOrListening(l.OperatorAdvertised, l.Operator)
 }
 
-// advertisedOr returns the listening address where no other is set, unless its port is not known yet.
-func advertisedOr(advertised, listening string) string {
+// advertisedOrListening returns advertised, or listening when advertised is empty. It returns ""
+// when listening has port 0, since its port is only known once the listener is open.
+func advertisedOrListening(advertised, listening string) string {
 	if advertised != "" {
 		return advertised
 	}
@@ -61,7 +62,7 @@
 	return listening
 }
 
-// provision reads the files that the settings name.
+// provision reads the files that the settings refer to.
 func (s *Settings) provision(c *tomlfile.Collector, dir string) {
 	s.Operator.provision(c, dir)
 	s.Peer.provision(c, dir)
@@ -75,7 +76,7 @@
 		return
 	}
 	if o.Token != "" {
-		c.Add("operator.token_file", o.TokenFile, "operator.token is set too; set one of them")
+		c.Add("operator.token_file", o.TokenFile, "operator.token is also set; set only one of them")
 		return
 	}
 	data, err := readFile(resolve(dir, o.TokenFile))
@@ -86,7 +87,7 @@
 	o.Token = strings.TrimSpace(string(data))
 }
 
-// provision checks the certificates; the links read the files again when they change.
+// provision checks the certificates. Peer links reload the files when they change.
 func (p *Peer) provision(c *tomlfile.Collector, dir string) {
 	p.CertFile = resolve(dir, p.CertFile)
 	p.KeyFile = resolve(dir, p.KeyFile)
@@ -105,13 +106,13 @@
 		return
 	}
 	if !x509.NewCertPool().AppendCertsFromPEM(data) {
-		c.Add("peer.ca_file", p.CAFile, "holds no PEM certificate")
+		c.Add("peer.ca_file", p.CAFile, "contains no PEM certificate")
 	}
 }
 
 func (k *TicketKey) provision(c *tomlfile.Collector, key, dir string) {
 	if k.SecretFile != "" && k.Secret != "" {
-		c.Add(key+".secret_file", k.SecretFile, "%s.secret is set too; set one of them", key)
+		c.Add(key+".secret_file", k.SecretFile, "%s.secret is also set; set only one of them", key)
 		return
 	}
 	if k.SecretFile != "" {
@@ -130,7 +131,7 @@
 	k.Bytes = secret
 }
 
-// decodeSecret decodes hex, or else base64.
+// decodeSecret decodes hex, or base64 if the text is not hex.
 func decodeSecret(text string) ([]byte, error) {
 	if secret, err := hex.DecodeString(text); err == nil {
 		return secret, nil
@@ -147,7 +148,7 @@
 		return nil, fmt.Errorf("read file: %w", err)
 	}
 	if info.Size() > MaxFileBytes {
-		return nil, fmt.Errorf("file of %d bytes is over %d", info.Size(), MaxFileBytes)
+		return nil, fmt.Errorf("file has %d bytes, the maximum is %d", info.Size(), MaxFileBytes)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,7 +8,7 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// Settings are everything that one instance learns from its settings file.
+// Settings is the content of one instance's settings file.
 type Settings struct {
 	Instance Instance `toml:"instance"`
 	Listen   Listen   `toml:"listen"`
@@ -23,16 +23,17 @@
 	Log      Log      `toml:"log"`
 }
 
-// Instance says who the instance is and where it runs.
+// Instance identifies the instance and its location.
 type Instance struct {
 	ID     fleet.InstanceID `toml:"id"`     // Unique in the fleet for as long as the address is in use.
-	Fleet  string           `toml:"fleet"`  // Same on all instances; peers and tickets of another fleet are refused.
+	Fleet  string           `toml:"fleet"`  // Same on all instances; peers and tickets of another fleet are rejected.
 	Zone   fleet.Zone       `toml:"zone"`   // Availability zone.
 	Region fleet.Region     `toml:"region"` // Region of the zone.
 }
 
-// Listen holds the addresses of the instance, each an IP number and port. An empty
-// advertised address is the listening one; it stays empty when the port is 0, for any free one.
+// Listen holds the addresses of the instance, each an IP address and port. An empty
+// advertised address defaults to the listening one, but stays empty when the listening
+// port is 0, which picks a free port.
 type Listen struct {
 	Entry              string `toml:"entry"` // For callers.
 	EntryAdvertised    string `toml:"entry_advertised"`
@@ -40,91 +41,91 @@
 	PeerAdvertised     string `toml:"peer_advertised"`
 	Operator           string `toml:"operator"` // For operators.
 	OperatorAdvertised string `toml:"operator_advertised"`
-	Outgoing           string `toml:"outgoing"` // IP number that connections to upstreams come from; empty for the system's choice.
+	Outgoing           string `toml:"outgoing"` // Local IP address of connections to upstreams; empty lets the system choose.
 }
 
-// Platform says how to reach the platform.
+// Platform is the address of the platform.
 type Platform struct {
-	Address string `toml:"address"` // IP number and port of the store and the list.
+	Address string `toml:"address"` // IP address and port of the store and the list.
 }
 
-// Peer says how instances prove themselves to each other.
+// Peer configures authentication between instances.
 type Peer struct {
-	CertFile  string `toml:"cert_file"` // PEM; read again when it changes.
+	CertFile  string `toml:"cert_file"` // PEM; reloaded when it changes.
 	KeyFile   string `toml:"key_file"`  // PEM.
-	CAFile    string `toml:"ca_file"`   // PEM; signs the certificates of every instance.
-	Plaintext bool   `toml:"plaintext"` // No TLS; taken on loopback addresses only.
+	CAFile    string `toml:"ca_file"`   // PEM; the CA that signs every instance's certificate.
+	Plaintext bool   `toml:"plaintext"` // Disables TLS; accepted on loopback addresses only.
 }
 
-// Operator guards the operator endpoints.
+// Operator configures authentication of the operator endpoints.
 type Operator struct {
 	Token     string `toml:"token"`      // Bearer token.
-	TokenFile string `toml:"token_file"` // File that holds it, in place of Token.
+	TokenFile string `toml:"token_file"` // File that contains the token, instead of Token.
 }
 
-// Tickets holds the keys that sign tickets.
+// Tickets configures the signing of tickets.
 type Tickets struct {
-	Lifetime time.Duration `toml:"lifetime"` // From being handed out until keys made from a ticket are refused.
-	Keys     []TicketKey   `toml:"keys"`     // The first signs; every one verifies.
+	Lifetime time.Duration `toml:"lifetime"` // From issue until keys made from a ticket are rejected.
+	Keys     []TicketKey   `toml:"keys"`     // The first key signs; all keys verify.
 }
 
 // TicketKey is one signing key.
 type TicketKey struct {
 	ID         string `toml:"id"`
 	Secret     string `toml:"secret"`      // Base64 or hex.
-	SecretFile string `toml:"secret_file"` // File that holds it, in place of Secret.
+	SecretFile string `toml:"secret_file"` // File that contains the secret, instead of Secret.
 
-	Bytes []byte `toml:"-"` // The decoded secret.
+	Bytes []byte `toml:"-"` // Decoded secret.
 }
 
-// Fleet holds what all instances of a fleet must have alike.
+// Fleet holds the settings that must be the same on all instances of a fleet.
 type Fleet struct {
 	CarriersPerService int           `toml:"carriers_per_service"` // Instances that route to a service's endpoints.
 	WatchersPerZone    int           `toml:"watchers_per_zone"`    // Instances that watch the store and the list.
 	EntriesPerAnswer   int           `toml:"entries_per_answer"`   // Instances in one discovery answer.
-	DiscoveryMaxAge    time.Duration `toml:"discovery_max_age"`    // Time for which callers keep an answer.
+	DiscoveryMaxAge    time.Duration `toml:"discovery_max_age"`    // Time for which callers may cache a discovery answer.
 }
 
-// Limits bound what the instance takes on.
+// Limits bounds the resources that the instance uses.
 type Limits struct {
-	MaxBodyBytes   tomlfile.Size `toml:"max_body"`         // Of a request, over any service's own bound.
-	MaxAnswerBytes tomlfile.Size `toml:"max_answer"`       // Of an upstream's answer.
+	MaxBodyBytes   tomlfile.Size `toml:"max_body"`         // Of a request body; a template may set a lower limit.
+	MaxAnswerBytes tomlfile.Size `toml:"max_answer"`       // Of an upstream's response.
 	MaxHeaderBytes tomlfile.Size `toml:"max_header"`       // Of a request's head.
 	MaxConnections int           `toml:"max_connections"`  // Of callers.
-	MaxInFlight    int           `toml:"max_in_flight"`    // Requests not answered yet.
-	ClaimTableKeys int           `toml:"claim_table_keys"` // Idempotency keys held at once.
-	MemoryLimit    tomlfile.Size `toml:"memory_limit"`     // Soft limit of the runtime; 0 for none.
+	MaxInFlight    int           `toml:"max_in_flight"`    // Concurrent requests.
+	ClaimTableKeys int           `toml:"claim_table_keys"` // Maximum number of idempotency keys in the claim table.
+	MemoryLimit    tomlfile.Size `toml:"memory_limit"`     // Soft memory limit of the Go runtime; 0 for none.
 	IdleTimeout    time.Duration `toml:"idle_timeout"`     // Of callers' connections.
-	ReadTimeout    time.Duration `toml:"read_timeout"`     // Of one request from its first byte.
-	UpstreamIdle   time.Duration `toml:"upstream_idle"`    // Of connections to upstreams.
+	ReadTimeout    time.Duration `toml:"read_timeout"`     // Of reading one request, from its first byte.
+	UpstreamIdle   time.Duration `toml:"upstream_idle"`    // Of idle connections to upstreams.
 	UpstreamDial   time.Duration `toml:"upstream_dial"`    // Of connecting to an upstream.
 }
 
-// Stop bounds a planned stop.
+// Stop configures a planned stop.
 type Stop struct {
-	Timeout time.Duration `toml:"timeout"` // After which what is still in flight is cut off.
+	Timeout time.Duration `toml:"timeout"` // After which requests still in flight are aborted.
 }
 
-// Trace chooses where spans go.
+// Trace configures the export of spans.
 type Trace struct {
 	Exporter    string  `toml:"exporter"`     // "none", "stdout" or "otlp".
-	URL         string  `toml:"url"`          // Of an OTLP collector over HTTP.
-	SampleShare float64 `toml:"sample_share"` // Of requests that came without a trace context.
+	URL         string  `toml:"url"`          // URL of an OTLP/HTTP collector.
+	SampleShare float64 `toml:"sample_share"` // Share of the requests without a trace context that are sampled.
 }
 
-// Exporters of Trace.
+// Values of Trace.Exporter.
 const (
 	ExporterNone   = "none"
 	ExporterStdout = "stdout"
 	ExporterOTLP   = "otlp"
 )
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level slog.Level `toml:"level"` // "debug", "info", "warn" or "error".
 }
 
-// Default returns the settings that hold where a file sets nothing.
+// Default returns the settings of an empty file.
 func Default() Settings {
 	return Settings{
 		Tickets: Tickets{Lifetime: 10 * time.Minute},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,13 +13,13 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-func faultsOf(t *testing.T, err error) []tomlfile.FieldError {
+func fieldErrors(t *testing.T, err error) []tomlfile.FieldError {
 	t.Helper()
-	var faults *tomlfile.ValidationError
-	if !errors.As(err, &faults) {
-		t.Fatalf("error %v is no list of faults", err)
+	var invalid *tomlfile.ValidationError
+	if !errors.As(err, &invalid) {
+		t.Fatalf("error %v is not a ValidationError", err)
 	}
-	return faults.Fields
+	return invalid.Fields
 }
 
 func TestExampleIsValid(t *testing.T) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestExampleShowsTheDefaults turns each commented default into a setting: nothing may change.
+// TestExampleShowsTheDefaults uncomments each default of the example, which must not change the settings.
 func TestExampleShowsTheDefaults(t *testing.T) {
 	want, err := Parse("example.toml", Example)
 	if err != nil {
@@ -40,14 +40,14 @@
 	}
 	commented := regexp.MustCompile(`(?m)^# ([a-z_]+ = [^#\n]+?)\s*(#.*)?$`)
 	var lines []string
-	shown := 0
+	uncommented := 0
 	for _, line := range strings.Split(string(Example), "\n") {
 		match := commented.FindStringSubmatch(line)
 		if match == nil || strings.HasSuffix(match[1], `.pem"`) {
 			lines = append(lines, line)
 			continue
 		}
-		shown++
+		uncommented++
 		lines = append(lines, match[1])
 	}
 	got, err := Parse("example.toml", []byte(strings.Join(lines, "\n")))
@@ -55,13 +55,13 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Fatalf("with the shown defaults %+v\nwithout %+v", got, want)
+		t.Fatalf("with the defaults uncommented %+v\nas published %+v", got, want)
 	}
 	if keys := countKeys(reflect.TypeFor[Settings]()); bytes.Count(Example, []byte(" = ")) < keys {
-		t.Errorf("the example shows %d keys, there are %d", bytes.Count(Example, []byte(" = ")), keys)
+		t.Errorf("the example contains %d keys, want at least %d", bytes.Count(Example, []byte(" = ")), keys)
 	}
-	if shown < 20 {
-		t.Errorf("only %d defaults were found", shown)
+	if uncommented < 20 {
+		t.Errorf("the example contains only %d commented defaults", uncommented)
 	}
 }
 
@@ -82,7 +82,7 @@
 	return n
 }
 
-func TestEveryFaultIsListedAtOnce(t *testing.T) {
+func TestParseReportsEveryInvalidSetting(t *testing.T) {
 	text := `
 [instance]
 id = "entry one"
@@ -125,7 +125,7 @@
 `
 	_, err := Parse("bad.toml", []byte(text))
 	got := make(map[string]bool)
-	for _, f := range faultsOf(t, err) {
+	for _, f := range fieldErrors(t, err) {
 		got[f.Key] = true
 	}
 	for _, key := range []string{"instance.colour", "instance.id", "instance.zone", "listen.entry", "listen.entry_advertised", "listen.outgoing",
@@ -133,12 +133,12 @@
 		"tickets.keys[1].id", "tickets.keys[1].secret", "fleet.carriers_per_service", "limits.max_body", "limits.max_in_flight",
 		"stop.timeout", "trace.exporter", "trace.sample_share", "log.level"} {
 		if !got[key] {
-			t.Errorf("the fault of %s is not listed", key)
+			t.Errorf("no error is reported for %s", key)
 		}
 	}
 	for _, secret := range []string{"short", "!!"} {
 		if strings.Contains(err.Error(), secret) {
-			t.Errorf("a secret is shown: %v", err)
+			t.Errorf("the error contains a secret: %v", err)
 		}
 	}
 }
@@ -179,10 +179,10 @@
 	}
 }
 
-func TestCertificatesAreNeededWithoutPlaintext(t *testing.T) {
+func TestCertificatesAreRequiredWithoutPlaintext(t *testing.T) {
 	_, err := Parse("s.toml", []byte(strings.Replace(string(Example), "plaintext = true", "plaintext = false", 1)))
-	if n := len(faultsOf(t, err)); n != 3 {
-		t.Fatalf("%d faults: %v", n, err)
+	if n := len(fieldErrors(t, err)); n != 3 {
+		t.Fatalf("%d errors: %v", n, err)
 	}
 }
 
@@ -208,10 +208,10 @@
 	if err := os.Remove(filepath.Join(dir, "key")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(filepath.Join(dir, "s.toml")); len(faultsOf(t, err)) != 1 {
+	if _, err := Load(filepath.Join(dir, "s.toml")); len(fieldErrors(t, err)) != 1 {
 		t.Fatal(err)
 	}
-	if _, err := Load(filepath.Join(dir, "none.toml")); len(faultsOf(t, err)) != 1 {
+	if _, err := Load(filepath.Join(dir, "none.toml")); len(fieldErrors(t, err)) != 1 {
 		t.Fatal(err)
 	}
 }
@@ -228,8 +228,8 @@
 	})
 }
 
-// TestEveryKeyIsOnTheOperatorsPage wants each key named on the page.
-func TestEveryKeyIsOnTheOperatorsPage(t *testing.T) {
+// TestOperatingPageListsEveryKey checks that the settings page documents each key.
+func TestOperatingPageListsEveryKey(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operating/settings.md")
 	if err != nil {
 		t.Fatal(err)
@@ -237,7 +237,7 @@
 	for _, key := range keysOf("", reflect.TypeFor[Settings]()) {
 		last := key[strings.LastIndex(key, ".")+1:]
 		if !strings.Contains(string(page), "`"+key+"`") && !strings.Contains(string(page), "`."+last+"`") {
-			t.Errorf("%s is not on the page", key)
+			t.Errorf("%s is missing from the page", key)
 		}
 	}
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -11,7 +11,7 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// Bounds of settings.
+// Bounds that settings are validated against.
 const (
 	MinSecretBytes      = 32 // Of a ticket key.
 	MinTokenBytes       = 16 // Of the operators' token.
@@ -28,15 +28,15 @@
 	MaxConnectionsBound = 1_000_000
 	MaxClaimKeysBound   = 10_000_000
 	maxNameBytes        = 64
-	shortestTimeout     = time.Millisecond
-	longestTimeout      = 10 * time.Minute
-	lowestHeaderBound   = 4 * tomlfile.KiB
-	highestHeaderBound  = 1 * tomlfile.MiB
+	minTimeout          = time.Millisecond
+	maxTimeout          = 10 * time.Minute
+	minHeaderBound      = 4 * tomlfile.KiB
+	maxHeaderBound      = 1 * tomlfile.MiB
 )
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// validate adds every fault of the settings to c.
+// validate adds an error to c for each invalid setting.
 func (s *Settings) validate(c *tomlfile.Collector) {
 	s.Instance.validate(c)
 	s.Listen.validate(c)
@@ -46,111 +46,111 @@
 	s.Tickets.validate(c)
 	s.Fleet.validate(c)
 	s.Limits.validate(c)
-	inRange(c, "stop.timeout", s.Stop.Timeout, shortestTimeout, MaxStopTimeout)
+	validateRange(c, "stop.timeout", s.Stop.Timeout, minTimeout, MaxStopTimeout)
 	s.Trace.validate(c)
 	if s.Tickets.Lifetime <= s.Fleet.DiscoveryMaxAge {
-		c.Add("tickets.lifetime", s.Tickets.Lifetime.String(), "must be over fleet.discovery_max_age, %v", s.Fleet.DiscoveryMaxAge)
+		c.Add("tickets.lifetime", s.Tickets.Lifetime.String(), "must be greater than fleet.discovery_max_age, which is %v", s.Fleet.DiscoveryMaxAge)
 	}
 }
 
 func (i Instance) validate(c *tomlfile.Collector) {
-	name(c, "instance.id", string(i.ID))
-	name(c, "instance.fleet", i.Fleet)
-	name(c, "instance.zone", string(i.Zone))
-	name(c, "instance.region", string(i.Region))
+	validateName(c, "instance.id", string(i.ID))
+	validateName(c, "instance.fleet", i.Fleet)
+	validateName(c, "instance.zone", string(i.Zone))
+	validateName(c, "instance.region", string(i.Region))
 }
 
 func (l Listen) validate(c *tomlfile.Collector) {
-	listenAddress(c, "listen.entry", l.Entry)
-	listenAddress(c, "listen.peer", l.Peer)
-	listenAddress(c, "listen.operator", l.Operator)
-	advertised(c, "listen.entry_advertised", l.EntryAdvertised, l.Entry)
-	advertised(c, "listen.peer_advertised", l.PeerAdvertised, l.Peer)
-	advertised(c, "listen.operator_advertised", l.OperatorAdvertised, l.Operator)
-	distinct(c, "listen.peer", l.Peer, "listen.entry", l.Entry)
-	distinct(c, "listen.operator", l.Operator, "listen.entry", l.Entry)
-	distinct(c, "listen.operator", l.Operator, "listen.peer", l.Peer)
+	validateListenAddress(c, "listen.entry", l.Entry)
+	validateListenAddress(c, "listen.peer", l.Peer)
+	validateListenAddress(c, "listen.operator", l.Operator)
+	validateAdvertised(c, "listen.entry_advertised", l.EntryAdvertised, l.Entry)
+	validateAdvertised(c, "listen.peer_advertised", l.PeerAdvertised, l.Peer)
+	validateAdvertised(c, "listen.operator_advertised", l.OperatorAdvertised, l.Operator)
+	validateDistinct(c, "listen.peer", l.Peer, "listen.entry", l.Entry)
+	validateDistinct(c, "listen.operator", l.Operator, "listen.entry", l.Entry)
+	validateDistinct(c, "listen.operator", l.Operator, "listen.peer", l.Peer)
 	if l.Outgoing != "" {
 		if _, err := netip.ParseAddr(l.Outgoing); err != nil {
-			c.Add("listen.outgoing", tomlfile.FormatValue(l.Outgoing), "must be an IP number")
+			c.Add("listen.outgoing", tomlfile.FormatValue(l.Outgoing), "must be an IP address")
 		}
 	}
 }
 
 func (p Platform) validate(c *tomlfile.Collector) {
-	remoteAddress(c, "platform.address", p.Address)
+	validateRemoteAddress(c, "platform.address", p.Address)
 }
 
 func (s *Settings) validatePeer(c *tomlfile.Collector) {
 	p := s.Peer
 	if p.Plaintext {
 		if p.CertFile != "" || p.KeyFile != "" || p.CAFile != "" {
-			c.Add("peer.plaintext", "true", "certificates are set too; set one of them")
+			c.Add("peer.plaintext", "true", "peer certificate files are also set; set only one of the two")
 		}
-		loopbackOnly(c, "listen.peer", s.Listen.Peer)
-		loopbackOnly(c, "listen.peer_advertised", s.Listen.PeerAdvertised)
+		validateLoopback(c, "listen.peer", s.Listen.Peer)
+		validateLoopback(c, "listen.peer_advertised", s.Listen.PeerAdvertised)
 		return
 	}
-	needed(c, "peer.cert_file", p.CertFile)
-	needed(c, "peer.key_file", p.KeyFile)
-	needed(c, "peer.ca_file", p.CAFile)
+	requireFile(c, "peer.cert_file", p.CertFile)
+	requireFile(c, "peer.key_file", p.KeyFile)
+	requireFile(c, "peer.ca_file", p.CAFile)
 }
 
-func loopbackOnly(c *tomlfile.Collector, key, address string) {
+func validateLoopback(c *tomlfile.Collector, key, address string) {
 	if addr, err := netip.ParseAddrPort(address); err == nil && !addr.Addr().IsLoopback() {
-		c.Add("peer.plaintext", "true", "is taken on loopback addresses only; %s is %s", key, address)
+		c.Add("peer.plaintext", "true", "is accepted on loopback addresses only, but %s is %s", key, address)
 	}
 }
 
-func needed(c *tomlfile.Collector, key, file string) {
+func requireFile(c *tomlfile.Collector, key, file string) {
 	if file == "" {
-		c.Add(key, "", "must be set, unless peer.plaintext is true")
+		c.Add(key, "", "must be set unless peer.plaintext is true")
 	}
 }
 
 func (o Operator) validate(c *tomlfile.Collector) {
 	if len(o.Token) < MinTokenBytes {
-		c.Add("operator.token", "", "has %d bytes, at least %d; set it or operator.token_file", len(o.Token), MinTokenBytes)
+		c.Add("operator.token", "", "has %d bytes, the minimum is %d; set it or operator.token_file", len(o.Token), MinTokenBytes)
 	}
 }
 
 func (t Tickets) validate(c *tomlfile.Collector) {
-	inRange(c, "tickets.lifetime", t.Lifetime, MinTicketLifetime, MaxTicketLifetime)
+	validateRange(c, "tickets.lifetime", t.Lifetime, MinTicketLifetime, MaxTicketLifetime)
 	if len(t.Keys) < 1 || len(t.Keys) > MaxTicketKeys {
-		c.Add("tickets.keys", "", "has %d keys, outside 1 to %d", len(t.Keys), MaxTicketKeys)
+		c.Add("tickets.keys", "", "has %d keys, must have 1 to %d", len(t.Keys), MaxTicketKeys)
 	}
 	seen := make(map[string]bool, len(t.Keys))
 	for i, k := range t.Keys {
 		key := fmt.Sprintf("tickets.keys[%d]", i)
-		name(c, key+".id", k.ID)
+		validateName(c, key+".id", k.ID)
 		if seen[k.ID] {
-			c.Add(key+".id", tomlfile.FormatValue(k.ID), "is given twice")
+			c.Add(key+".id", tomlfile.FormatValue(k.ID), "is a duplicate")
 		}
 		seen[k.ID] = true
 		if k.Bytes != nil && len(k.Bytes) < MinSecretBytes {
-			c.Add(key+".secret", "", "has %d bytes, at least %d", len(k.Bytes), MinSecretBytes)
+			c.Add(key+".secret", "", "has %d bytes, the minimum is %d", len(k.Bytes), MinSecretBytes)
 		}
 	}
 }
 
 func (f Fleet) validate(c *tomlfile.Collector) {
-	inRange(c, "fleet.carriers_per_service", f.CarriersPerService, 1, MaxCarriers)
-	inRange(c, "fleet.watchers_per_zone", f.WatchersPerZone, 1, MaxWatchers)
-	inRange(c, "fleet.entries_per_answer", f.EntriesPerAnswer, 1, MaxEntriesPerAnswer)
-	inRange(c, "fleet.discovery_max_age", f.DiscoveryMaxAge, MinDiscoveryMaxAge, MaxDiscoveryMaxAge)
+	validateRange(c, "fleet.carriers_per_service", f.CarriersPerService, 1, MaxCarriers)
+	validateRange(c, "fleet.watchers_per_zone", f.WatchersPerZone, 1, MaxWatchers)
+	validateRange(c, "fleet.entries_per_answer", f.EntriesPerAnswer, 1, MaxEntriesPerAnswer)
+	validateRange(c, "fleet.discovery_max_age", f.DiscoveryMaxAge, MinDiscoveryMaxAge, MaxDiscoveryMaxAge)
 }
 
 func (l Limits) validate(c *tomlfile.Collector) {
-	inRange(c, "limits.max_body", l.MaxBodyBytes, 1, MaxBodyBound)
-	inRange(c, "limits.max_answer", l.MaxAnswerBytes, 1, MaxBodyBound)
-	inRange(c, "limits.max_header", l.MaxHeaderBytes, lowestHeaderBound, highestHeaderBound)
-	inRange(c, "limits.max_connections", l.MaxConnections, 1, MaxConnectionsBound)
-	inRange(c, "limits.max_in_flight", l.MaxInFlight, 1, MaxConnectionsBound)
-	inRange(c, "limits.claim_table_keys", l.ClaimTableKeys, 1, MaxClaimKeysBound)
-	inRange(c, "limits.idle_timeout", l.IdleTimeout, shortestTimeout, longestTimeout)
-	inRange(c, "limits.read_timeout", l.ReadTimeout, shortestTimeout, longestTimeout)
-	inRange(c, "limits.upstream_idle", l.UpstreamIdle, shortestTimeout, longestTimeout)
-	inRange(c, "limits.upstream_dial", l.UpstreamDial, shortestTimeout, longestTimeout)
+	validateRange(c, "limits.max_body", l.MaxBodyBytes, 1, MaxBodyBound)
+	validateRange(c, "limits.max_answer", l.MaxAnswerBytes, 1, MaxBodyBound)
+	validateRange(c, "limits.max_header", l.MaxHeaderBytes, minHeaderBound, maxHeaderBound)
+	validateRange(c, "limits.max_connections", l.MaxConnections, 1, MaxConnectionsBound)
+	validateRange(c, "limits.max_in_flight", l.MaxInFlight, 1, MaxConnectionsBound)
+	validateRange(c, "limits.claim_table_keys", l.ClaimTableKeys, 1, MaxClaimKeysBound)
+	validateRange(c, "limits.idle_timeout", l.IdleTimeout, minTimeout, maxTimeout)
+	validateRange(c, "limits.read_timeout", l.ReadTimeout, minTimeout, maxTimeout)
+	validateRange(c, "limits.upstream_idle", l.UpstreamIdle, minTimeout, maxTimeout)
+	validateRange(c, "limits.upstream_dial", l.UpstreamDial, minTimeout, maxTimeout)
 }
 
 func (t Trace) validate(c *tomlfile.Collector) {
@@ -158,24 +158,24 @@
 	case ExporterNone, ExporterStdout:
 	case ExporterOTLP:
 		if u, err := url.Parse(t.URL); err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-			c.Add("trace.url", tomlfile.FormatValue(t.URL), `must be a URL of an OTLP collector, as "http://192.0.2.1:4318"`)
+			c.Add("trace.url", tomlfile.FormatValue(t.URL), `must be the URL of an OTLP collector, such as "http://192.0.2.1:4318"`)
 		}
 	default:
 		c.Add("trace.exporter", tomlfile.FormatValue(t.Exporter), "must be %q, %q or %q", ExporterNone, ExporterStdout, ExporterOTLP)
 	}
-	inRange(c, "trace.sample_share", t.SampleShare, 0, 1)
+	validateRange(c, "trace.sample_share", t.SampleShare, 0, 1)
 }
 
-func name(c *tomlfile.Collector, key, text string) {
+func validateName(c *tomlfile.Collector, key, text string) {
 	if len(text) > maxNameBytes || !namePattern.MatchString(text) {
 		c.Add(key, tomlfile.FormatValue(text), "must be 1 to %d letters, digits, dots, dashes and underscores, and start with a letter or digit", maxNameBytes)
 	}
 }
 
-// inRange adds a fault unless low <= value <= high; a value that is no number is a fault.
-func inRange[T cmp.Ordered](c *tomlfile.Collector, key string, value, low, high T) {
+// validateRange adds an error unless low <= value <= high. NaN is out of range.
+func validateRange[T cmp.Ordered](c *tomlfile.Collector, key string, value, low, high T) {
 	if value >= low && value <= high {
 		return
 	}
-	c.Add(key, fmt.Sprint(value), "is outside %v to %v", low, high)
+	c.Add(key, fmt.Sprint(value), "must be from %v to %v", low, high)
 }
--- a/internal/template/check.go
+++ b/internal/template/check.go
@@ -28,30 +28,30 @@
 	weightBound    = bound[int]{1, rollout.MaxWeight}
 )
 
-// holds reports whether a value is in range; a value that is no number is not.
-func (b bound[T]) holds(value T) bool {
+// contains reports whether a value is in range; a value that is no number is not.
+func (b bound[T]) contains(value T) bool {
 	return value >= b.low && value <= b.high
 }
 
-// checked returns a parameter: the entry's, else its template's, else otherwise. A parameter
+// resolveParameter returns a parameter: the entry's, else its template's, else otherwise. A parameter
 // without any of them is a fault, as is one out of range. Shared values out of range are
 // found once, by checkTemplates.
-func checked[T cmp.Ordered](r *resolver, parameter string, own, shared *T, at, sharedAt origin, otherwise *T, b bound[T]) T {
-	value, _, given := pick(own, shared, at, sharedAt)
+func resolveParameter[T cmp.Ordered](r *resolver, parameter string, own, shared *T, at, sharedAt origin, otherwise *T, b bound[T]) T {
+	value, _, given := effectiveValue(own, shared, at, sharedAt)
 	switch {
 	case !given && otherwise != nil:
 		return *otherwise
 	case !given:
-		r.add(at.file, at.key+"."+parameter, "", "must be set here or in a template")
+		r.addError(at.file, at.key+"."+parameter, "", "must be set here or in a template")
 	case own != nil:
-		inBound(r, at, parameter, own, b)
+		checkBound(r, at, parameter, own, b)
 	}
 	return value
 }
 
-func inBound[T cmp.Ordered](r *resolver, at origin, parameter string, value *T, b bound[T]) {
-	if value != nil && !b.holds(*value) {
-		r.add(at.file, at.key+"."+parameter, fmt.Sprint(*value), "is outside %v to %v", b.low, b.high)
+func checkBound[T cmp.Ordered](r *resolver, at origin, parameter string, value *T, b bound[T]) {
+	if value != nil && !b.contains(*value) {
+		r.addError(at.file, at.key+"."+parameter, fmt.Sprint(*value), "is outside %v to %v", b.low, b.high)
 	}
 }
 
@@ -64,13 +64,13 @@
 	for _, name := range sortedKeys(r.services) {
 		entry := r.services[name]
 		if entry.value.Routes != nil {
-			r.checkRouteForms(origin{file: entry.file, key: "service." + trimName(string(name))}, *entry.value.Routes)
+			r.checkRouteSyntax(origin{file: entry.file, key: "service." + trimName(string(name))}, *entry.value.Routes)
 		}
 	}
 	for _, name := range sortedKeys(r.accountTemplates) {
 		template := r.accountTemplates[name]
 		at := origin{file: template.file, key: "account_template." + trimName(name)}
-		inBound(r, at, "weight", template.value.Weight, weightBound)
+		checkBound(r, at, "weight", template.value.Weight, weightBound)
 		if template.value.Services != nil {
 			r.checkServices(at, *template.value.Services)
 		}
@@ -78,16 +78,16 @@
 }
 
 func (r *resolver) checkParameters(at origin, p serviceParameters) {
-	inBound(r, at, "floor_slots", p.FloorSlots, floorBound)
-	inBound(r, at, "deadline", p.Deadline, deadlineBound)
-	inBound(r, at, "retry_share", p.RetryShare, shareBound)
-	inBound(r, at, "false_ejections_per_endpoint_month", p.FalseEjections, ejectionsBound)
-	inBound(r, at, "requests_per_second", p.RequestsPerSecond, rateBound)
-	inBound(r, at, "max_body", p.MaxBody, bodyBound)
-	inBound(r, at, "endpoints", p.Endpoints, countBound)
-	inBound(r, at, "slots_per_endpoint", p.SlotsPerEndpoint, countBound)
+	checkBound(r, at, "floor_slots", p.FloorSlots, floorBound)
+	checkBound(r, at, "deadline", p.Deadline, deadlineBound)
+	checkBound(r, at, "retry_share", p.RetryShare, shareBound)
+	checkBound(r, at, "false_ejections_per_endpoint_month", p.FalseEjections, ejectionsBound)
+	checkBound(r, at, "requests_per_second", p.RequestsPerSecond, rateBound)
+	checkBound(r, at, "max_body", p.MaxBody, bodyBound)
+	checkBound(r, at, "endpoints", p.Endpoints, countBound)
+	checkBound(r, at, "slots_per_endpoint", p.SlotsPerEndpoint, countBound)
 	if p.Routes != nil {
-		r.checkRouteForms(at, *p.Routes)
+		r.checkRouteSyntax(at, *p.Routes)
 	}
 }
 
@@ -96,17 +96,17 @@
 	"", http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-func (r *resolver) checkRouteForms(at origin, routes []route) {
+func (r *resolver) checkRouteSyntax(at origin, routes []route) {
 	for i, route := range routes {
 		key := fmt.Sprintf("%s.routes[%d]", at.key, i)
 		if !slices.Contains(methods, route.Method) {
-			r.add(at.file, key+".method", tomlfile.FormatValue(route.Method), "must be one of %v, or empty for any", methods[1:])
+			r.addError(at.file, key+".method", tomlfile.FormatValue(route.Method), "must be one of %v, or empty for any", methods[1:])
 		}
 		if !strings.HasPrefix(route.PathPrefix, "/") || strings.ContainsAny(route.PathPrefix, "?# \t\r\n") {
-			r.add(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must start with "/" and hold no space, "?" or "#"`)
+			r.addError(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must start with "/" and hold no space, "?" or "#"`)
 		}
 		if strings.HasPrefix(route.PathPrefix, "/.damaskcove") {
-			r.add(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must not start with "/.damaskcove", the fleet's own`)
+			r.addError(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must not start with "/.damaskcove", the fleet's own`)
 		}
 	}
 }
@@ -116,22 +116,22 @@
 	for i, service := range services {
 		key := fmt.Sprintf("%s.services[%d]", at.key, i)
 		if _, ok := r.services[service]; !ok {
-			r.add(at.file, key, tomlfile.FormatValue(string(service)), "no such service; there are %v", sortedKeys(r.services))
+			r.addError(at.file, key, tomlfile.FormatValue(string(service)), "no such service; there are %v", sortedKeys(r.services))
 		}
 		if seen[service] {
-			r.add(at.file, key, tomlfile.FormatValue(string(service)), "is given twice")
+			r.addError(at.file, key, tomlfile.FormatValue(string(service)), "is given twice")
 		}
 		seen[service] = true
 	}
 }
 
 func (r *resolver) checkName(at origin, name string) {
-	if name == "" || len(name) > rollout.MaxNameBytes || strings.ContainsFunc(name, notInName) {
-		r.add(at.file, at.key, tomlfile.FormatValue(name), "name must be 1 to %d letters, digits, dots, dashes and underscores", rollout.MaxNameBytes)
+	if name == "" || len(name) > rollout.MaxNameBytes || strings.ContainsFunc(name, isInvalidNameRune) {
+		r.addError(at.file, at.key, tomlfile.FormatValue(name), "name must be 1 to %d letters, digits, dots, dashes and underscores", rollout.MaxNameBytes)
 	}
 }
 
-func notInName(c rune) bool {
+func isInvalidNameRune(c rune) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return false
@@ -150,7 +150,7 @@
 	if own != nil {
 		place = at
 	}
-	r.add(place.file, place.key+".floor_slots", fmt.Sprint(s.FloorSlots),
+	r.addError(place.file, place.key+".floor_slots", fmt.Sprint(s.FloorSlots),
 		"leaves no endpoint of service %q to eject; at most %d with %d endpoints of %d slots",
 		s.Name, total-size.SlotsPerEndpoint, size.Endpoints, size.SlotsPerEndpoint)
 }
@@ -158,15 +158,15 @@
 // routeKey is what tells routes apart.
 type routeKey struct{ method, prefix string }
 
-// checkRoutes wants each method and path prefix to lead to one service.
-func (r *resolver) checkRoutes(services []rollout.ServiceTemplate) {
+// checkDuplicateRoutes wants each method and path prefix to lead to one service.
+func (r *resolver) checkDuplicateRoutes(services []rollout.ServiceTemplate) {
 	owner := make(map[routeKey]fleet.Service)
 	for _, s := range services {
 		for i, route := range s.Routes {
 			key := routeKey{route.Method, strings.TrimSuffix(route.PathPrefix, "/")}
 			if other, ok := owner[key]; ok {
 				file := r.services[s.Name].file
-				r.add(file, fmt.Sprintf("service.%s.routes[%d]", trimName(string(s.Name)), i), tomlfile.FormatValue(route.Method+" "+route.PathPrefix), "is also a route of service %q", other)
+				r.addError(file, fmt.Sprintf("service.%s.routes[%d]", trimName(string(s.Name)), i), tomlfile.FormatValue(route.Method+" "+route.PathPrefix), "is also a route of service %q", other)
 				continue
 			}
 			owner[key] = s.Name
--- a/internal/template/resolve.go
+++ b/internal/template/resolve.go
@@ -22,7 +22,7 @@
 // resolve turns what was read into a set, and checks it.
 func (r *resolver) resolve() *Set {
 	if r.fleet.value == "" {
-		r.add("templates", "fleet", "", "must be set in one of the files")
+		r.addError("templates", "fleet", "", "must be set in one of the files")
 	}
 	set := &Set{Fleet: r.fleet.value, Sizes: make(map[fleet.Service]Size)}
 	r.checkTemplates()
@@ -31,7 +31,7 @@
 		set.Services = append(set.Services, service)
 		set.Sizes[name] = size
 	}
-	r.checkRoutes(set.Services)
+	r.checkDuplicateRoutes(set.Services)
 	for _, name := range sortedKeys(r.accounts) {
 		set.Accounts = append(set.Accounts, r.resolveAccount(name, r.accounts[name]))
 	}
@@ -44,8 +44,8 @@
 	key  string // Of the entry or template, without the parameter.
 }
 
-// pick returns the entry's value, or else its template's, with its place.
-func pick[T any](own, shared *T, ownAt, sharedAt origin) (T, origin, bool) {
+// effectiveValue returns the entry's value, or else its template's, with its place.
+func effectiveValue[T any](own, shared *T, ownAt, sharedAt origin) (T, origin, bool) {
 	switch {
 	case own != nil:
 		return *own, ownAt, true
@@ -63,18 +63,18 @@
 	shared, sharedAt := r.serviceTemplate(at, entry.value.Template)
 	own := entry.value.serviceParameters
 	s := rollout.ServiceTemplate{Name: name}
-	s.FloorSlots = checked(r, "floor_slots", own.FloorSlots, shared.FloorSlots, at, sharedAt, nil, floorBound)
-	s.Deadline = checked(r, "deadline", own.Deadline, shared.Deadline, at, sharedAt, nil, deadlineBound)
-	s.RetryShare = checked(r, "retry_share", own.RetryShare, shared.RetryShare, at, sharedAt, nil, shareBound)
-	s.FalseEjectionsPerEndpointMonth = checked(r, "false_ejections_per_endpoint_month", own.FalseEjections, shared.FalseEjections, at, sharedAt, nil, ejectionsBound)
-	s.RequestsPerSecond = checked(r, "requests_per_second", own.RequestsPerSecond, shared.RequestsPerSecond, at, sharedAt, nil, rateBound)
+	s.FloorSlots = resolveParameter(r, "floor_slots", own.FloorSlots, shared.FloorSlots, at, sharedAt, nil, floorBound)
+	s.Deadline = resolveParameter(r, "deadline", own.Deadline, shared.Deadline, at, sharedAt, nil, deadlineBound)
+	s.RetryShare = resolveParameter(r, "retry_share", own.RetryShare, shared.RetryShare, at, sharedAt, nil, shareBound)
+	s.FalseEjectionsPerEndpointMonth = resolveParameter(r, "false_ejections_per_endpoint_month", own.FalseEjections, shared.FalseEjections, at, sharedAt, nil, ejectionsBound)
+	s.RequestsPerSecond = resolveParameter(r, "requests_per_second", own.RequestsPerSecond, shared.RequestsPerSecond, at, sharedAt, nil, rateBound)
 	maxBody := defaultMaxBody
-	s.MaxBodyBytes = int(checked(r, "max_body", own.MaxBody, shared.MaxBody, at, sharedAt, &maxBody, bodyBound))
+	s.MaxBodyBytes = int(resolveParameter(r, "max_body", own.MaxBody, shared.MaxBody, at, sharedAt, &maxBody, bodyBound))
 	s.Routes = r.resolveRoutes(name, own.Routes, shared.Routes, at, sharedAt)
 	none := 0
 	size := Size{
-		Endpoints:        checked(r, "endpoints", own.Endpoints, shared.Endpoints, at, sharedAt, &none, countBound),
-		SlotsPerEndpoint: checked(r, "slots_per_endpoint", own.SlotsPerEndpoint, shared.SlotsPerEndpoint, at, sharedAt, &none, countBound),
+		Endpoints:        resolveParameter(r, "endpoints", own.Endpoints, shared.Endpoints, at, sharedAt, &none, countBound),
+		SlotsPerEndpoint: resolveParameter(r, "slots_per_endpoint", own.SlotsPerEndpoint, shared.SlotsPerEndpoint, at, sharedAt, &none, countBound),
 	}
 	r.checkFloor(s, size, own.FloorSlots, at, sharedAt)
 	return s, size
@@ -87,16 +87,16 @@
 	}
 	template, ok := r.templates[name]
 	if !ok {
-		r.add(at.file, at.key+".template", tomlfile.FormatValue(name), "no such template; there are %v", sortedKeys(r.templates))
+		r.addError(at.file, at.key+".template", tomlfile.FormatValue(name), "no such template; there are %v", sortedKeys(r.templates))
 		return serviceParameters{}, at
 	}
 	return template.value, origin{file: template.file, key: "template." + trimName(name)}
 }
 
 func (r *resolver) resolveRoutes(name fleet.Service, own, shared *[]route, at, sharedAt origin) []rollout.Route {
-	routes, place, _ := pick(own, shared, at, sharedAt)
+	routes, place, _ := effectiveValue(own, shared, at, sharedAt)
 	if len(routes) == 0 {
-		r.add(place.file, place.key+".routes", "", "must hold at least one route")
+		r.addError(place.file, place.key+".routes", "", "must hold at least one route")
 	}
 	var out []rollout.Route
 	for _, route := range routes {
@@ -117,23 +117,23 @@
 	if entry.value.Template != "" {
 		template, ok := r.accountTemplates[entry.value.Template]
 		if !ok {
-			r.add(at.file, at.key+".template", tomlfile.FormatValue(entry.value.Template), "no such account template; there are %v", sortedKeys(r.accountTemplates))
+			r.addError(at.file, at.key+".template", tomlfile.FormatValue(entry.value.Template), "no such account template; there are %v", sortedKeys(r.accountTemplates))
 		} else {
 			shared, sharedAt = template.value, origin{file: template.file, key: "account_template." + trimName(entry.value.Template)}
 		}
 	}
 	weight := defaultWeight
 	a := rollout.AccountTemplate{Name: name}
-	a.Weight = checked(r, "weight", entry.value.Weight, shared.Weight, at, sharedAt, &weight, weightBound)
+	a.Weight = resolveParameter(r, "weight", entry.value.Weight, shared.Weight, at, sharedAt, &weight, weightBound)
 	a.Services = r.resolveServices(entry.value.Services, shared.Services, at, sharedAt)
 	return a
 }
 
 // resolveServices checks the services that an account may call. Faults of a shared template are found once, by checkTemplates.
 func (r *resolver) resolveServices(own, shared *[]fleet.Service, at, sharedAt origin) []fleet.Service {
-	services, place, given := pick(own, shared, at, sharedAt)
+	services, place, given := effectiveValue(own, shared, at, sharedAt)
 	if !given {
-		r.add(at.file, at.key+".services", "", "must be set here or in a template")
+		r.addError(at.file, at.key+".services", "", "must be set here or in a template")
 	}
 	if own != nil {
 		r.checkServices(place, services)
--- a/internal/template/resolver.go
+++ b/internal/template/resolver.go
@@ -16,7 +16,7 @@
 
 // resolver gathers the files of a fleet, then resolves them.
 type resolver struct {
-	faults           []tomlfile.FieldError
+	fieldErrors      []tomlfile.FieldError
 	fleet            located[string]
 	templates        map[string]located[serviceParameters]
 	services         map[fleet.Service]located[serviceEntry]
@@ -35,21 +35,21 @@
 	}
 }
 
-// add records a fault.
-func (r *resolver) add(file, key, value, format string, args ...any) {
+// addError records a fault.
+func (r *resolver) addError(file, key, value, format string, args ...any) {
 	c := tomlfile.Collector{File: file}
 	c.Add(key, value, format, args...)
-	r.faults = append(r.faults, c.Fields...)
+	r.fieldErrors = append(r.fieldErrors, c.Fields...)
 }
 
 func (r *resolver) err() error {
-	if len(r.faults) == 0 {
+	if len(r.fieldErrors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b tomlfile.FieldError) int {
+	slices.SortStableFunc(r.fieldErrors, func(a, b tomlfile.FieldError) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Key, b.Key))
 	})
-	return &tomlfile.ValidationError{Fields: r.faults}
+	return &tomlfile.ValidationError{Fields: r.fieldErrors}
 }
 
 // read decodes one file and takes in what it holds.
@@ -57,55 +57,55 @@
 	var f file
 	c := &tomlfile.Collector{File: source.Name}
 	tomlfile.Decode(c, source.Data, &f)
-	r.faults = append(r.faults, c.Fields...)
-	r.readFleet(source.Name, f.Fleet)
-	gather(r, source.Name, "template.", f.Templates, r.templates)
-	gather(r, source.Name, "service.", f.Services, r.services)
-	gather(r, source.Name, "account_template.", f.AccountTemplates, r.accountTemplates)
+	r.fieldErrors = append(r.fieldErrors, c.Fields...)
+	r.setFleet(source.Name, f.Fleet)
+	addEntries(r, source.Name, "template.", f.Templates, r.templates)
+	addEntries(r, source.Name, "service.", f.Services, r.services)
+	addEntries(r, source.Name, "account_template.", f.AccountTemplates, r.accountTemplates)
 	for _, name := range sortedKeys(f.Accounts) {
-		r.readAccount(source.Name, "account."+trimName(string(name)), name, f.Accounts[name])
+		r.addAccount(source.Name, "account."+trimName(string(name)), name, f.Accounts[name])
 	}
 	for _, list := range sortedKeys(f.AccountLists) {
-		r.readList(source.Name, "accounts."+trimName(list), f.AccountLists[list])
+		r.addAccountList(source.Name, "accounts."+trimName(list), f.AccountLists[list])
 	}
 }
 
-func (r *resolver) readFleet(file, name string) {
+func (r *resolver) setFleet(file, name string) {
 	if name == "" {
 		return
 	}
 	if r.fleet.value != "" && r.fleet.value != name {
-		r.add(file, "fleet", tomlfile.FormatValue(name), "is %q in %s", r.fleet.value, r.fleet.file)
+		r.addError(file, "fleet", tomlfile.FormatValue(name), "is %q in %s", r.fleet.value, r.fleet.file)
 		return
 	}
 	r.fleet = located[string]{value: name, file: file}
 }
 
-// gather takes in the entries of one kind; each name may be given once.
-func gather[K ~string, T any](r *resolver, file, prefix string, from map[K]T, into map[K]located[T]) {
+// addEntries takes in the entries of one kind; each name may be given once.
+func addEntries[K ~string, T any](r *resolver, file, prefix string, from map[K]T, into map[K]located[T]) {
 	for _, name := range sortedKeys(from) {
 		if before, ok := into[name]; ok {
-			r.add(file, prefix+trimName(string(name)), "", "is also in %s", before.file)
+			r.addError(file, prefix+trimName(string(name)), "", "is also in %s", before.file)
 			continue
 		}
 		into[name] = located[T]{value: from[name], file: file}
 	}
 }
 
-func (r *resolver) readAccount(file, key string, name fleet.Account, entry accountEntry) {
+func (r *resolver) addAccount(file, key string, name fleet.Account, entry accountEntry) {
 	if before, ok := r.accounts[name]; ok {
-		r.add(file, key, tomlfile.FormatValue(string(name)), "is also in %s at %s", before.file, r.accountKeys[name])
+		r.addError(file, key, tomlfile.FormatValue(string(name)), "is also in %s at %s", before.file, r.accountKeys[name])
 		return
 	}
 	r.accounts[name] = located[accountEntry]{value: entry, file: file}
 	r.accountKeys[name] = key
 }
 
-func (r *resolver) readList(file, key string, list accountList) {
+func (r *resolver) addAccountList(file, key string, list accountList) {
 	if len(list.Names) == 0 {
-		r.add(file, key+".names", "", "must hold at least one name")
+		r.addError(file, key+".names", "", "must hold at least one name")
 	}
 	for _, name := range list.Names {
-		r.readAccount(file, key+".names", name, accountEntry{Template: list.Template})
+		r.addAccount(file, key+".names", name, accountEntry{Template: list.Template})
 	}
 }
--- a/internal/template/template_test.go
+++ b/internal/template/template_test.go
@@ -41,7 +41,7 @@
 	return Parse(Source{Name: "t.toml", Data: []byte(text)})
 }
 
-func faultsOf(t *testing.T, err error) []tomlfile.FieldError {
+func fieldErrors(t *testing.T, err error) []tomlfile.FieldError {
 	t.Helper()
 	var faults *tomlfile.ValidationError
 	if !errors.As(err, &faults) {
@@ -125,7 +125,7 @@
 template = "brewer"
 `)
 	got := make(map[string]bool)
-	for _, f := range faultsOf(t, err) {
+	for _, f := range fieldErrors(t, err) {
 		got[f.Key] = true
 	}
 	for _, key := range []string{"colour", "template.lookup.speed", "template.lookup.floor_slots", "template.lookup.deadline", "template.lookup.retry_share",
@@ -158,12 +158,12 @@
 	}
 	write("c.toml", "fleet = \"g\"\n[service.stock]\ntemplate = \"lookup\"\n[account.late]\ntemplate = \"brewer\"\n")
 	_, err = Load(dir)
-	if faults := faultsOf(t, err); len(faults) != 3 || !strings.HasSuffix(faults[0].File, "c.toml") {
+	if faults := fieldErrors(t, err); len(faults) != 3 || !strings.HasSuffix(faults[0].File, "c.toml") {
 		t.Fatal(err)
 	}
 	for _, path := range []string{filepath.Join(dir, "none"), t.TempDir()} {
 		_, err := Load(path)
-		faultsOf(t, err)
+		fieldErrors(t, err)
 	}
 }
 
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -13,22 +13,22 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxShownBytes bounds the part of a value that a fault shows.
-const maxShownBytes = 80
+// maxFormattedBytes bounds a value in an error message; longer ones are truncated.
+const maxFormattedBytes = 80
 
-// Decode assigns the values of a TOML file to the struct that into points at, and adds
-// each fault to c.
+// Decode assigns the values of a TOML file to the struct that into points to, and adds
+// an error to c for each value that it can't assign.
 func Decode(c *Collector, data []byte, into any) {
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
-		c.Add("", "", "%s", describeSyntax(err))
+		c.Add("", "", "%s", syntaxProblem(err))
 		return
 	}
 	d := decoder{collector: c}
 	d.table("", tree, reflect.ValueOf(into).Elem())
 }
 
-func describeSyntax(err error) string {
+func syntaxProblem(err error) string {
 	var syntax *toml.DecodeError
 	if errors.As(err, &syntax) {
 		row, column := syntax.Position()
@@ -46,20 +46,20 @@
 	unmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
-// table assigns a table to a struct.
+// table decodes a table into a struct.
 func (d decoder) table(path string, tree map[string]any, into reflect.Value) {
 	fields := fieldsByKey(into.Type())
 	for _, key := range slices.Sorted(maps.Keys(tree)) {
 		index, ok := fields[key]
 		if !ok {
-			d.collector.Add(join(path, key), "", "unknown key; known here: %s", known(fields))
+			d.collector.Add(join(path, key), "", "unknown key; the known keys are %s", knownKeys(fields))
 			continue
 		}
 		d.value(join(path, key), tree[key], into.FieldByIndex(index))
 	}
 }
 
-// value assigns any value to a field.
+// value decodes a value into a field of any supported type. A pointer stays nil if its value is invalid.
 func (d decoder) value(path string, value any, into reflect.Value) {
 	if into.Kind() == reflect.Pointer {
 		target := reflect.New(into.Type().Elem())
@@ -123,7 +123,7 @@
 	into.Set(out)
 }
 
-// text assigns a value through encoding.TextUnmarshaler. Numbers are passed as their text.
+// text decodes a value with encoding.TextUnmarshaler. Whole numbers are passed in decimal.
 func (d decoder) text(path string, value any, into reflect.Value) {
 	var text string
 	switch v := value.(type) {
@@ -189,12 +189,12 @@
 func (d decoder) duration(path string, value any, into reflect.Value) {
 	text, ok := value.(string)
 	if !ok {
-		d.mismatch(path, value, `a time with its unit, as "250ms"`)
+		d.mismatch(path, value, `a duration with a unit, such as "250ms"`)
 		return
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		d.mismatch(path, value, `a time with its unit, as "250ms"`)
+		d.mismatch(path, value, `a duration with a unit, such as "250ms"`)
 		return
 	}
 	into.SetInt(int64(duration))
@@ -204,19 +204,19 @@
 	d.collector.Add(path, FormatValue(value), "must be %s", want)
 }
 
-// FormatValue returns a value as a fault shows it.
+// FormatValue formats a value for FieldError.Value.
 func FormatValue(value any) string {
 	text := fmt.Sprint(value)
 	if s, ok := value.(string); ok {
 		text = strconv.Quote(s)
 	}
-	if len(text) > maxShownBytes {
-		text = text[:maxShownBytes] + "..."
+	if len(text) > maxFormattedBytes {
+		text = text[:maxFormattedBytes] + "..."
 	}
 	return text
 }
 
-// fieldsByKey returns the index of each field that has a key, those of embedded structs included.
+// fieldsByKey returns the index of each field with a TOML key, including fields of embedded structs.
 func fieldsByKey(t reflect.Type) map[string][]int {
 	fields := make(map[string][]int, t.NumField())
 	for _, field := range reflect.VisibleFields(t) {
@@ -227,7 +227,7 @@
 	return fields
 }
 
-func known(fields map[string][]int) string {
+func knownKeys(fields map[string][]int) string {
 	return fmt.Sprint(slices.Sorted(maps.Keys(fields)))
 }
 
--- a/internal/tomlfile/decode_test.go
+++ b/internal/tomlfile/decode_test.go
@@ -31,7 +31,7 @@
 
 func TestDecodeAssigns(t *testing.T) {
 	got := file{Count: 9, Share: 0.5}
-	faults := decode(`
+	fields := decode(`
 count = 3
 on = true
 wait = "1m30s"
@@ -43,8 +43,8 @@
 [by_name.x]
 size = 12
 `, &got)
-	if len(faults) != 0 {
-		t.Fatal(faults)
+	if len(fields) != 0 {
+		t.Fatal(fields)
 	}
 	if got.Count != 3 || got.Share != 0.5 || !got.On || got.Wait != 90*time.Second || len(got.Words) != 2 ||
 		got.Parts[0].Size != 2048 || got.ByName["x"].Size != 12 || *got.Maybe != 7 {
@@ -52,9 +52,9 @@
 	}
 }
 
-func TestDecodeListsEveryFault(t *testing.T) {
+func TestDecodeReportsEveryInvalidField(t *testing.T) {
 	var got file
-	faults := decode(`
+	fields := decode(`
 count = "three"
 share = "half"
 on = 1
@@ -71,24 +71,24 @@
 `, &got)
 	want := []string{"by_name.x = 3: must be a table", "count = \"three\"", "maybe = \"x\"", "nonsense: unknown key", "on = 1", "parts[0].colour: unknown key",
 		"parts[0].name = 1", "parts[0].size = \"2 furlongs\"", "share = \"half\"", "wait = 30", "words[1] = 2"}
-	if len(faults) != len(want) {
-		t.Fatalf("%d faults, want %d:\n%v", len(faults), len(want), (&ValidationError{Fields: faults}).Error())
+	if len(fields) != len(want) {
+		t.Fatalf("%d errors, want %d:\n%v", len(fields), len(want), (&ValidationError{Fields: fields}).Error())
 	}
 	for i := range want {
-		if !strings.HasPrefix(faults[i].String(), "f.toml: "+want[i]) {
-			t.Errorf("fault %q, want %q", faults[i], want[i])
+		if !strings.HasPrefix(fields[i].String(), "f.toml: "+want[i]) {
+			t.Errorf("error %q, want %q", fields[i], want[i])
 		}
 	}
 	if got.Maybe != nil {
-		t.Error("a faulty value was assigned")
+		t.Error("an invalid value was assigned")
 	}
 }
 
-func TestSyntaxFaultNamesItsPlace(t *testing.T) {
+func TestSyntaxErrorNamesItsLine(t *testing.T) {
 	var got file
-	faults := decode("count = 1\ncount = = 2\n", &got)
-	if len(faults) != 1 || !strings.Contains(faults[0].String(), "line 2") {
-		t.Fatal(faults)
+	fields := decode("count = 1\ncount = = 2\n", &got)
+	if len(fields) != 1 || !strings.Contains(fields[0].String(), "line 2") {
+		t.Fatal(fields)
 	}
 }
 
--- a/internal/tomlfile/size.go
+++ b/internal/tomlfile/size.go
@@ -16,7 +16,7 @@
 	GiB Size = 1 << 30
 )
 
-// UnmarshalText reads a size.
+// UnmarshalText parses a size.
 func (s *Size) UnmarshalText(text []byte) error {
 	number := string(text)
 	unit := Size(1)
@@ -30,13 +30,13 @@
 	}
 	n, err := strconv.ParseInt(strings.TrimSpace(number), 10, 32)
 	if err != nil || n < 0 {
-		return fmt.Errorf(`must be a size in bytes, as "64KiB" or 65536`)
+		return fmt.Errorf(`must be a size in bytes, such as "64KiB" or 65536`)
 	}
 	*s = Size(n) * unit
 	return nil
 }
 
-// String returns the size in its largest whole unit.
+// String formats the size in the largest unit of which it is a whole multiple.
 func (s Size) String() string {
 	for _, u := range []struct {
 		name  string
