--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/standin"
 )
 
-// BenchmarkChangeInForce measures the time from the operator's call until the last instance of a
-// fleet in one process has a change in force, and the store's calls in between.
+// BenchmarkChangeInForce measures the time from the operator's call until a change is active on
+// the last instance of a fleet in one process.
 func BenchmarkChangeInForce(b *testing.B) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, delay := range []time.Duration{0, 300 * time.Millisecond} {
@@ -29,27 +29,27 @@
 	if err := store.SetFaults(standin.Faults{Delay: delay}); err != nil {
 		b.Fatal(err)
 	}
-	var took []time.Duration
+	var elapsed []time.Duration
 	for b.Loop() {
 		start := time.Now()
-		want := change(b, store, len(took), fmt.Sprint(len(took)))
-		waitFor(b, "change in force everywhere", allInstances(nodes, func(n *instance) bool { return n.revision() >= want }))
-		took = append(took, time.Since(start))
+		want := change(b, store, len(elapsed), fmt.Sprint(len(elapsed)))
+		waitFor(b, "change active on every instance", allInstances(nodes, func(n *instance) bool { return n.revision() >= want }))
+		elapsed = append(elapsed, time.Since(start))
 	}
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "p50-ms")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
+	slices.Sort(elapsed)
+	b.ReportMetric(float64(elapsed[len(elapsed)/2].Microseconds())/1000, "p50-ms")
+	b.ReportMetric(float64(elapsed[len(elapsed)*99/100].Microseconds())/1000, "p99-ms")
 }
 
 func startAll(b *testing.B, size int, store *standin.Platform) []*instance {
 	net := &network{nodes: make(map[fleet.Ref]*instance)}
-	var hints []fleet.Instance
+	var candidates []fleet.Instance
 	for i := range size {
-		hints = append(hints, describe(i))
+		candidates = append(candidates, describe(i))
 	}
 	var nodes []*instance
 	for i := range size {
-		nodes = append(nodes, net.start(b, i, hints, store))
+		nodes = append(nodes, net.start(b, i, candidates, store))
 	}
 	waitFor(b, "all on the roster", allInstances(nodes, func(n *instance) bool {
 		s := n.members.Snapshot()
@@ -63,8 +63,8 @@
 	return nodes
 }
 
-// BenchmarkColdStart measures the start of an instance until its first configuration, with the
-// store at hand and away.
+// BenchmarkColdStart measures the time from the start of an instance until its first
+// configuration, with the store available and during an outage.
 func BenchmarkColdStart(b *testing.B) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, outage := range []standin.Outage{standin.OutageNone, standin.OutageRefuse} {
@@ -72,22 +72,22 @@
 			store := standin.New(standin.Options{})
 			nodes := startAll(b, 12, store)
 			want := change(b, store, 1, "one")
-			waitFor(b, "change in force everywhere", allInstances(nodes, func(n *instance) bool { return n.revision() == want }))
+			waitFor(b, "change active on every instance", allInstances(nodes, func(n *instance) bool { return n.revision() == want }))
 			if err := store.SetFaults(standin.Faults{Store: outage}); err != nil {
 				b.Fatal(err)
 			}
-			var hints []fleet.Instance
+			var candidates []fleet.Instance
 			for i := range 12 {
-				hints = append(hints, describe(i))
+				candidates = append(candidates, describe(i))
 			}
 			net := nodes[0].net
 			next := 100
 			for b.Loop() {
-				late := net.start(b, next, hints, store)
+				joiner := net.start(b, next, candidates, store)
 				next++
-				waitFor(b, "first configuration", func() bool { return late.revision() == want })
+				waitFor(b, "first configuration", func() bool { return joiner.revision() == want })
 				b.StopTimer()
-				late.stop()
+				joiner.stop()
 				b.StartTimer()
 			}
 		})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config keeps one instance's configuration: it drives coord/rollout on the control
-// goroutine, watches and reads the platform's store on goroutines of its own, and
-// publishes the configuration in force.
+// Package config keeps one instance's configuration up to date: it runs the state machine of
+// coord/rollout on the control goroutine, watches and reads the platform's store on separate
+// goroutines, and publishes the active configuration.
 package config
 
 import (
@@ -25,14 +25,14 @@
 const (
 	// DefaultWatchersPerZone is the number of instances of each zone that watch the store.
 	DefaultWatchersPerZone = 2
-	// joinPeers is the number of instances that one without neighbours asks.
+	// joinPeers is the number of instances that an instance without neighbours requests the configuration from.
 	joinPeers = 6
-	// refreshInterval is the time between two questions of an instance that is not on the roster.
+	// refreshInterval is the time between two requests by an instance that is not on the roster.
 	refreshInterval = 2 * time.Second
-	// pollPerInstance is the time for which each instance of the fleet adds to the time between
-	// two reads of the head by one instance, so that the fleet's rate is one per pollPerInstance.
+	// pollPerInstance is multiplied by the number of instances to get an instance's poll interval,
+	// so that the whole fleet reads the head once per pollPerInstance, whatever its size.
 	pollPerInstance = time.Second
-	// minPollInterval is the least time between two such reads.
+	// minPollInterval is the minimum of an instance's poll interval, before jitter.
 	minPollInterval = 15 * time.Second
 )
 
@@ -48,11 +48,11 @@
 	Budget          *storecall.Budget // Nil for no bound.
 	Members         *members.Duty
 	Log             *slog.Logger
-	// OnApply is told of each configuration put in force, on the control goroutine.
+	// OnApply is called on the control goroutine after each new configuration becomes active.
 	OnApply func(now time.Time, c *rollout.Config)
 }
 
-// Duty keeps one instance's configuration.
+// Duty is the control duty that keeps one instance's configuration up to date.
 type Duty struct {
 	o                Options
 	ctx              context.Context
@@ -61,14 +61,14 @@
 	current          atomic.Pointer[rollout.Config]
 	snapshot         *members.Snapshot
 	joinCandidates   []fleet.Instance
-	cancelWatch      context.CancelFunc // Ends the watch; nil without one.
+	cancelWatch      context.CancelFunc // Nil unless this instance watches the store.
 	pollAt           time.Time
 	refreshedAt      time.Time
 	reportedCounters rollout.Counters
 	rejections       refusals.Tally
 }
 
-// New returns the duty of an instance without a configuration. ctx bounds its calls of the store.
+// New returns a Duty without a configuration. Its calls to the store end with ctx.
 func New(ctx context.Context, o Options) *Duty {
 	if o.Log == nil {
 		o.Log = slog.Default()
@@ -85,7 +85,7 @@
 	}
 }
 
-// Current returns the configuration in force, or nil before the first. Any goroutine may call it.
+// Current returns the active configuration, or nil before the first. Any goroutine may call it.
 func (d *Duty) Current() *rollout.Config {
 	return d.current.Load()
 }
@@ -100,10 +100,10 @@
 	return d.machine.Counters()
 }
 
-// Start takes the platform's list, whose instances are asked for a configuration until this one
-// is on the roster. It must run on the control goroutine.
-func (d *Duty) Start(now time.Time, hints []fleet.Instance) {
-	d.joinCandidates = hints
+// Start starts the duty. It requests a configuration from the instances of candidates, the
+// platform's list, until this instance is on the roster. It must run on the control goroutine.
+func (d *Duty) Start(now time.Time, candidates []fleet.Instance) {
+	d.joinCandidates = candidates
 	d.applySnapshot(now)
 	d.run(now, d.machine.Tick(now))
 }
@@ -137,7 +137,7 @@
 	d.report()
 }
 
-// run carries out the machine's effects.
+// run executes the machine's effects.
 func (d *Duty) run(now time.Time, effects []rollout.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -156,13 +156,14 @@
 func (d *Duty) apply(now time.Time, c *rollout.Config) {
 	d.current.Store(c)
 	d.o.Members.SetRevision(c.Revision)
-	d.o.Log.Info("configuration in force", "revision", uint64(c.Revision), "services", len(c.Services), "accounts", len(c.Accounts))
+	d.o.Log.Info("configuration is now active", "revision", uint64(c.Revision), "services", len(c.Services), "accounts", len(c.Accounts))
 	if d.o.OnApply != nil {
 		d.o.OnApply(now, c)
 	}
 }
 
-// refresh asks a peer while this instance is off the roster and nobody sends it heartbeats.
+// refresh requests the configuration from a peer while this instance is not on the roster,
+// because instances off the roster receive no heartbeats that carry the revision.
 func (d *Duty) refresh(now time.Time) {
 	if d.snapshot.Joined || now.Sub(d.refreshedAt) < refreshInterval {
 		return
@@ -171,7 +172,7 @@
 	d.run(now, d.machine.Refresh(now))
 }
 
-// poll reads the head now and then, in case every watcher has lost the store.
+// poll reads the head at long, jittered intervals, in case no watcher can reach the store.
 func (d *Duty) poll(now time.Time) {
 	if now.Before(d.pollAt) {
 		return
@@ -184,22 +185,22 @@
 	}
 }
 
-// report counts and logs what the machine has refused since the last call.
+// report counts and logs what the machine has rejected since the last call.
 func (d *Duty) report() {
 	c := d.machine.Counters()
 	if c == d.reportedCounters {
 		return
 	}
 	d.reportedCounters = c
-	refused := d.rejections.Report(map[result.Code]uint64{
+	changed := d.rejections.Report(map[result.Code]uint64{
 		result.CodePeerOtherFleet: c.OtherFleet,
 		result.CodePeerMalformed:  c.Malformed + c.Unsolicited,
 		result.CodeConfigDigest:   c.WrongDigest,
 		result.CodeConfigTooLarge: c.TooLarge,
 		result.CodeConfigFault:    c.StaleStoreReads,
 	})
-	if refused {
-		d.o.Log.Warn("configuration refused; the last good one stays in force",
+	if changed {
+		d.o.Log.Warn("configuration update rejected; the last valid configuration stays active",
 			"other_fleet", c.OtherFleet, "malformed", c.Malformed, "wrong_digest", c.WrongDigest,
 			"too_large", c.TooLarge, "store_behind", c.StaleStoreReads)
 	}
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -21,13 +21,13 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// waitTimeout bounds how long a test waits for something that must happen.
+// waitTimeout bounds each wait of a test.
 const waitTimeout = 90 * time.Second
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 2 * time.Millisecond
 
-// instance is one instance's control loop with its two duties.
+// instance is a test instance: a control loop with the membership and configuration duties.
 type instance struct {
 	ref     fleet.Ref
 	loop    *control.Loop
@@ -39,7 +39,7 @@
 	applied []fleet.Revision
 }
 
-// network passes encoded messages between the loops of one process.
+// network delivers encoded messages between the control loops of one process.
 type network struct {
 	mu    sync.Mutex
 	nodes map[fleet.Ref]*instance
@@ -75,7 +75,7 @@
 	}
 }
 
-func (n *network) start(t testing.TB, i int, hints []fleet.Instance, store *standin.Platform) *instance {
+func (n *network) start(t testing.TB, i int, candidates []fleet.Instance, store *standin.Platform) *instance {
 	self := describe(i)
 	ctx, cancel := context.WithCancel(t.Context())
 	loop := control.NewLoop(func(from fleet.Ref, kind wire.Kind, err error) {})
@@ -97,8 +97,8 @@
 	n.mu.Unlock()
 	go loop.Run(ctx)
 	loop.Post(func(now time.Time) {
-		node.members.Start(now, hints)
-		node.config.Start(now, hints)
+		node.members.Start(now, candidates)
+		node.config.Start(now, candidates)
 	})
 	return node
 }
@@ -127,10 +127,10 @@
 	}
 }
 
-func allInstances(nodes []*instance, holds func(*instance) bool) func() bool {
+func allInstances(nodes []*instance, condition func(*instance) bool) func() bool {
 	return func() bool {
 		for _, n := range nodes {
-			if !holds(n) {
+			if !condition(n) {
 				return false
 			}
 		}
@@ -150,18 +150,19 @@
 	return accepted.Revision
 }
 
-// TestFleetFollowsThroughAnOutage starts a fleet on an empty store, changes the
-// configuration, takes the store away, and starts one more instance from its peers.
-func TestFleetFollowsThroughAnOutage(t *testing.T) {
+// TestFleetAppliesChangesAcrossStoreOutage starts a fleet on an empty store, changes the
+// configuration, and starts one more instance during a store outage. The new instance must get
+// the configuration from its peers, and all must apply revisions in increasing order.
+func TestFleetAppliesChangesAcrossStoreOutage(t *testing.T) {
 	store := standin.New(standin.Options{})
 	net := &network{nodes: make(map[fleet.Ref]*instance)}
-	var hints []fleet.Instance
+	var candidates []fleet.Instance
 	for i := range 9 {
-		hints = append(hints, describe(i))
+		candidates = append(candidates, describe(i))
 	}
 	var nodes []*instance
 	for i := range 9 {
-		nodes = append(nodes, net.start(t, i, hints, store))
+		nodes = append(nodes, net.start(t, i, candidates, store))
 	}
 	waitFor(t, "all nine on the roster", allInstances(nodes, func(n *instance) bool {
 		s := n.members.Snapshot()
@@ -169,19 +170,19 @@
 	}))
 	for k := range 3 {
 		want := change(t, store, k, fmt.Sprint(k))
-		waitFor(t, "change in force everywhere", allInstances(nodes, func(n *instance) bool { return n.revision() == want }))
+		waitFor(t, "change active on every instance", allInstances(nodes, func(n *instance) bool { return n.revision() == want }))
 	}
 	if err := store.SetFaults(standin.Faults{Store: standin.OutageRefuse}); err != nil {
 		t.Fatal(err)
 	}
-	late := net.start(t, 20, hints, store)
-	waitFor(t, "a start without the store", func() bool { return late.revision() == 3 })
+	joiner := net.start(t, 20, candidates, store)
+	waitFor(t, "the configuration from peers during the outage", func() bool { return joiner.revision() == 3 })
 	if err := store.SetFaults(standin.Faults{}); err != nil {
 		t.Fatal(err)
 	}
-	nodes = append(nodes, late)
+	nodes = append(nodes, joiner)
 	want := change(t, store, 9, "after")
-	waitFor(t, "change after the outage in force", allInstances(nodes, func(n *instance) bool {
+	waitFor(t, "change after the outage active on every instance", allInstances(nodes, func(n *instance) bool {
 		return n.revision() == want && len(n.members.Snapshot().Roster.Instances) == 10
 	}))
 	for _, n := range nodes {
@@ -196,14 +197,14 @@
 	}
 }
 
-// TestRosterReplyLost loses the reply to the first writes of the roster.
+// TestRosterReplyLost drops the replies to the first two writes of the roster, so that their result is unknown.
 func TestRosterReplyLost(t *testing.T) {
 	store := standin.New(standin.Options{Faults: standin.Faults{LoseReplies: 2}})
 	net := &network{nodes: make(map[fleet.Ref]*instance)}
-	hints := []fleet.Instance{describe(0), describe(1), describe(2)}
+	candidates := []fleet.Instance{describe(0), describe(1), describe(2)}
 	var nodes []*instance
 	for i := range 3 {
-		nodes = append(nodes, net.start(t, i, hints, store))
+		nodes = append(nodes, net.start(t, i, candidates, store))
 	}
 	waitFor(t, "all three on the roster", allInstances(nodes, func(n *instance) bool {
 		s := n.members.Snapshot()
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -8,7 +8,8 @@
 	"github.com/damaskcove/damaskcove/internal/members"
 )
 
-// applySnapshot takes the peers and the part as watcher from the latest snapshot of the members.
+// applySnapshot updates the machine's peers from the latest membership snapshot, and starts or
+// stops the watch according to whether this instance is a watcher.
 func (d *Duty) applySnapshot(now time.Time) {
 	s := d.o.Members.Snapshot()
 	d.snapshot = s
@@ -38,8 +39,8 @@
 	return false
 }
 
-// peers returns the neighbours, or a few instances of different zones for one that is not
-// on the roster.
+// peers returns the neighbours, or joinPeers random instances spread over the zones if this
+// instance is not on the roster.
 func (d *Duty) peers(s *members.Snapshot) []fleet.Ref {
 	if s.Joined {
 		return refsOf(d.o.Members.Neighbours())
@@ -50,7 +51,7 @@
 	return refsOf(selectAcrossZones(candidates, s.Self, joinPeers))
 }
 
-// selectAcrossZones returns count instances other than self, taking the zones in turns.
+// selectAcrossZones returns up to count instances other than self, spread evenly over the zones.
 func selectAcrossZones(candidates []fleet.Instance, self fleet.Instance, count int) []fleet.Instance {
 	var chosen []fleet.Instance
 	perZone := make(map[fleet.Zone]int)
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// callTimeout bounds one read of the store.
+	// callTimeout bounds one read from the store.
 	callTimeout = 10 * time.Second
-	// watchTimeout bounds one watch, which is then begun again.
+	// watchTimeout bounds one watch call, after which the watch is started again.
 	watchTimeout = time.Minute
-	// minBackoff and maxBackoff bound the time before a failed watch is begun again.
+	// minBackoff and maxBackoff bound the delay before a failed watch is retried.
 	minBackoff = 500 * time.Millisecond
 	maxBackoff = 15 * time.Second
 )
@@ -28,11 +28,11 @@
 	d.postHead(value, err)
 }
 
-// postHead hands the outcome of reading the head to the machine. An absent key is a zero head.
+// postHead passes the result of reading the head to the machine. A missing key gives a zero head.
 func (d *Duty) postHead(value metastore.Value, err error) {
 	head, err := decodeHead(value, err)
 	if errors.Is(err, rollout.ErrMalformed) {
-		d.o.Log.Error("head in the store is malformed; the last good configuration stays in force", "error", err.Error())
+		d.o.Log.Error("configuration head in the store is malformed; the last valid configuration stays active", "error", err.Error())
 	}
 	d.o.Loop.Post(func(now time.Time) { d.run(now, d.machine.HeadRead(now, head, err)) })
 }
@@ -54,7 +54,7 @@
 	d.o.Loop.Post(func(now time.Time) { d.run(now, d.machine.ShardRead(now, digest, value.Data, err)) })
 }
 
-// watchHead reads the head each time that it changes, until ctx ends.
+// watchHead passes the head to the machine each time that it changes, until ctx ends.
 func (d *Duty) watchHead(ctx context.Context) {
 	var after metastore.Version
 	backoff := minBackoff
@@ -81,7 +81,7 @@
 	return d.store.Watch(ctx, d.o.Keys.Head(), after)
 }
 
-// jitter returns between half of a time and the whole of it.
+// jitter returns a random duration between d/2 and d.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d/2+1)
 }
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -1,8 +1,8 @@
-// Package edit turns an operator's templates into a change of the fleet's configuration.
+// Package edit computes the change to the fleet's configuration that an operator's edit makes.
 //
-// The base of an edit is the configuration that the operator last knew: what the templates
-// resolved to when they were last applied. Only what the operator changed since becomes
-// part of the change, so that templates which others added or changed stay as they are.
+// The base of an edit is the configuration that the operator's templates resolved to when they
+// were last applied. The change contains only the differences from the base, so that it leaves
+// templates that others added or changed in the meantime as they are.
 package edit
 
 import (
@@ -21,40 +21,40 @@
 	"github.com/damaskcove/damaskcove/coord/rollout"
 )
 
-// maxBaseBytes bounds a base file once it is unpacked.
+// maxBaseBytes bounds the uncompressed size of a base file.
 const maxBaseBytes = 1 << 30
 
-// baseMode is the mode of base files.
+// baseMode is the file mode of base files.
 const baseMode = 0o600
 
-// ChangeBetween returns the change that leads from base to wanted. base may be nil.
-func ChangeBetween(base, wanted *rollout.Config) rollout.Change {
+// ChangeBetween returns the change that turns base into desired. base may be nil.
+func ChangeBetween(base, desired *rollout.Config) rollout.Change {
 	if base == nil {
 		base = &rollout.Config{}
 	}
 	return rollout.Change{
-		Services:       changed(base.Services, wanted.Services),
-		Accounts:       changed(base.Accounts, wanted.Accounts),
-		RemoveServices: removed(base.Services, wanted.Services),
-		RemoveAccounts: removed(base.Accounts, wanted.Accounts),
+		Services:       changed(base.Services, desired.Services),
+		Accounts:       changed(base.Accounts, desired.Accounts),
+		RemoveServices: removed(base.Services, desired.Services),
+		RemoveAccounts: removed(base.Accounts, desired.Accounts),
 	}
 }
 
-func changed[K ~string, T any](base, wanted map[K]T) []T {
+func changed[K ~string, T any](base, desired map[K]T) []T {
 	var out []T
-	for _, name := range sortedKeys(wanted) {
+	for _, name := range sortedKeys(desired) {
 		before, ok := base[name]
-		if !ok || !reflect.DeepEqual(before, wanted[name]) {
-			out = append(out, wanted[name])
+		if !ok || !reflect.DeepEqual(before, desired[name]) {
+			out = append(out, desired[name])
 		}
 	}
 	return out
 }
 
-func removed[K ~string, T any](base, wanted map[K]T) []K {
+func removed[K ~string, T any](base, desired map[K]T) []K {
 	var out []K
 	for _, name := range sortedKeys(base) {
-		if _, ok := wanted[name]; !ok {
+		if _, ok := desired[name]; !ok {
 			out = append(out, name)
 		}
 	}
@@ -70,7 +70,7 @@
 	return keys
 }
 
-// BaseFile returns the name of the file that keeps the base of a templates file or directory.
+// BaseFile returns the path of the file that stores the base of a templates file or directory.
 func BaseFile(templates string) string {
 	info, err := os.Stat(templates)
 	if err == nil && info.IsDir() {
@@ -79,7 +79,7 @@
 	return templates + ".base.json.gz"
 }
 
-// ReadBase reads a base file. It returns nil when there is none.
+// ReadBase reads a base file. It returns nil if the file does not exist.
 func ReadBase(path string) (*rollout.Config, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -89,20 +89,20 @@
 		return nil, fmt.Errorf("read base: %w", err)
 	}
 	defer func() { _ = file.Close() }()
-	packed, err := gzip.NewReader(file)
+	reader, err := gzip.NewReader(file)
 	if err != nil {
 		return nil, fmt.Errorf("read base %s: %w", path, err)
 	}
 	var config rollout.Config
-	if err := json.NewDecoder(io.LimitReader(packed, maxBaseBytes)).Decode(&config); err != nil {
+	if err := json.NewDecoder(io.LimitReader(reader, maxBaseBytes)).Decode(&config); err != nil {
 		return nil, fmt.Errorf("read base %s: %w", path, err)
 	}
 	return &config, nil
 }
 
-// WriteBase keeps the templates that were applied as the base of the next edit. accepted is the
-// configuration after the change. The base has accepted's revision only when it is the whole of it:
-// else a later edit is compared with what others have changed.
+// WriteBase stores the templates that were applied as the base of the next edit. accepted is the
+// configuration after the change. The base gets accepted's revision only if the two are equal.
+// Otherwise its revision is 0, so that the next edit is checked for conflicts with others' changes.
 func WriteBase(path string, applied, accepted *rollout.Config) error {
 	base := *applied
 	base.Revision = 0
@@ -113,17 +113,17 @@
 	if err != nil {
 		return fmt.Errorf("encode base: %w", err)
 	}
-	next := path + ".new"
-	if err := os.WriteFile(next, data, baseMode); err != nil {
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, data, baseMode); err != nil {
 		return fmt.Errorf("write base: %w", err)
 	}
-	if err := os.Rename(next, path); err != nil {
+	if err := os.Rename(temporary, path); err != nil {
 		return fmt.Errorf("write base: %w", err)
 	}
 	return nil
 }
 
-// compressBase returns a base as compressed JSON.
+// compressBase encodes a base as compressed JSON.
 func compressBase(base rollout.Config) ([]byte, error) {
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
--- a/internal/edit/edit_test.go
+++ b/internal/edit/edit_test.go
@@ -27,28 +27,29 @@
 	return c
 }
 
-// TestChangeLeadsToTheTemplatesAndLeavesOthersAlone applies an edit to a configuration that
-// another operator has changed, too.
-func TestChangeLeadsToTheTemplatesAndLeavesOthersAlone(t *testing.T) {
+// TestChangeTouchesOnlyEditedTemplates applies a change to its base, which must give the edited
+// configuration, and to a configuration that another operator changed, in which it must touch only
+// the templates that were edited.
+func TestChangeTouchesOnlyEditedTemplates(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		base, wanted, others := drawConfig(rt, "base "), drawConfig(rt, "wanted "), drawConfig(rt, "others ")
 		change := ChangeBetween(base, wanted)
-		if left := rollout.Diff(base.With(change, 1), wanted); len(left) > 0 {
-			rt.Fatalf("left after the change: %v", left)
+		if remaining := rollout.Diff(base.With(change, 1), wanted); len(remaining) > 0 {
+			rt.Fatalf("still different after the change: %v", remaining)
 		}
 		after := others.With(change, 1)
-		touched := map[string]bool{}
+		edited := map[string]bool{}
 		for _, name := range change.TemplateNames() {
-			touched[name] = true
+			edited[name] = true
 		}
 		for _, d := range rollout.Diff(others, after) {
-			if !touched[d.Template] {
-				rt.Fatalf("changed what the operator did not: %v", d)
+			if !edited[d.Template] {
+				rt.Fatalf("changed a template that the operator did not edit: %v", d)
 			}
 		}
 		for _, d := range rollout.Diff(base, wanted) {
-			if !touched[d.Template] {
-				rt.Fatalf("left out: %v", d)
+			if !edited[d.Template] {
+				rt.Fatalf("edit is missing from the change: %v", d)
 			}
 		}
 	})
@@ -76,7 +77,7 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadBase(path); err == nil {
-		t.Fatal("a broken base was taken")
+		t.Fatal("a corrupt base file was accepted")
 	}
 	if got := BaseFile(filepath.Join(dir, "t.toml")); got != filepath.Join(dir, "t.toml")+".base.json.gz" {
 		t.Fatal(got)
--- a/internal/template/check.go
+++ b/internal/template/check.go
@@ -13,10 +13,10 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// bound is the range of a parameter, both ends included.
+// bound is the inclusive range of a parameter.
 type bound[T cmp.Ordered] struct{ low, high T }
 
-// Bounds of the parameters. They lie within those of the rollout package.
+// Bounds of the parameters. They must lie within those that rollout.Config.Validate checks.
 var (
 	floorBound     = bound[int]{0, 1_000_000}
 	deadlineBound  = bound[time.Duration]{time.Millisecond, rollout.MaxDeadline}
@@ -28,19 +28,19 @@
 	weightBound    = bound[int]{1, rollout.MaxWeight}
 )
 
-// contains reports whether a value is in range; a value that is no number is not.
+// contains reports whether value is in range. NaN is not.
 func (b bound[T]) contains(value T) bool {
 	return value >= b.low && value <= b.high
 }
 
-// resolveParameter returns a parameter: the entry's, else its template's, else otherwise. A parameter
-// without any of them is a fault, as is one out of range. Shared values out of range are
-// found once, by checkTemplates.
-func resolveParameter[T cmp.Ordered](r *resolver, parameter string, own, shared *T, at, sharedAt origin, otherwise *T, b bound[T]) T {
+// resolveParameter returns the entry's own value, else its template's (shared), else defaultValue.
+// It reports an error if there is none of them, or if the entry's own value is out of range.
+// Values of templates are checked once, by checkTemplates, not for each entry that uses them.
+func resolveParameter[T cmp.Ordered](r *resolver, parameter string, own, shared *T, at, sharedAt origin, defaultValue *T, b bound[T]) T {
 	value, _, given := effectiveValue(own, shared, at, sharedAt)
 	switch {
-	case !given && otherwise != nil:
-		return *otherwise
+	case !given && defaultValue != nil:
+		return *defaultValue
 	case !given:
 		r.addError(at.file, at.key+"."+parameter, "", "must be set here or in a template")
 	case own != nil:
@@ -51,11 +51,12 @@
 
 func checkBound[T cmp.Ordered](r *resolver, at origin, parameter string, value *T, b bound[T]) {
 	if value != nil && !b.contains(*value) {
-		r.addError(at.file, at.key+"."+parameter, fmt.Sprint(*value), "is outside %v to %v", b.low, b.high)
+		r.addError(at.file, at.key+"."+parameter, fmt.Sprint(*value), "must be from %v to %v", b.low, b.high)
 	}
 }
 
-// checkTemplates finds the faults of shared templates, also of those that nothing names.
+// checkTemplates checks the values of all templates, including templates that no entry uses, and
+// the routes that services override.
 func (r *resolver) checkTemplates() {
 	for _, name := range sortedKeys(r.templates) {
 		template := r.templates[name]
@@ -91,7 +92,7 @@
 	}
 }
 
-// methods are the methods that a route may name.
+// methods are the HTTP methods that a route may have. The empty one matches any.
 var methods = []string{
 	"", http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
@@ -103,10 +104,10 @@
 			r.addError(at.file, key+".method", tomlfile.FormatValue(route.Method), "must be one of %v, or empty for any", methods[1:])
 		}
 		if !strings.HasPrefix(route.PathPrefix, "/") || strings.ContainsAny(route.PathPrefix, "?# \t\r\n") {
-			r.addError(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must start with "/" and hold no space, "?" or "#"`)
+			r.addError(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must start with "/" and contain no space, "?" or "#"`)
 		}
 		if strings.HasPrefix(route.PathPrefix, "/.damaskcove") {
-			r.addError(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must not start with "/.damaskcove", the fleet's own`)
+			r.addError(at.file, key+".path_prefix", tomlfile.FormatValue(route.PathPrefix), `must not start with "/.damaskcove", which is reserved for the fleet`)
 		}
 	}
 }
@@ -116,10 +117,10 @@
 	for i, service := range services {
 		key := fmt.Sprintf("%s.services[%d]", at.key, i)
 		if _, ok := r.services[service]; !ok {
-			r.addError(at.file, key, tomlfile.FormatValue(string(service)), "no such service; there are %v", sortedKeys(r.services))
+			r.addError(at.file, key, tomlfile.FormatValue(string(service)), "no such service; the services are %v", sortedKeys(r.services))
 		}
 		if seen[service] {
-			r.addError(at.file, key, tomlfile.FormatValue(string(service)), "is given twice")
+			r.addError(at.file, key, tomlfile.FormatValue(string(service)), "is a duplicate")
 		}
 		seen[service] = true
 	}
@@ -140,7 +141,8 @@
 	}
 }
 
-// checkFloor wants a floor that leaves room to eject one endpoint, when the operator gave the service's size.
+// checkFloor checks that the floor allows ejecting at least one endpoint. It needs the size of
+// the service, and checks nothing if the operator did not give it.
 func (r *resolver) checkFloor(s rollout.ServiceTemplate, size Size, own *int, at, sharedAt origin) {
 	total := size.Endpoints * size.SlotsPerEndpoint
 	if total == 0 || s.FloorSlots <= total-size.SlotsPerEndpoint {
@@ -151,14 +153,14 @@
 		place = at
 	}
 	r.addError(place.file, place.key+".floor_slots", fmt.Sprint(s.FloorSlots),
-		"leaves no endpoint of service %q to eject; at most %d with %d endpoints of %d slots",
+		"allows no endpoint of service %q to be ejected; must be at most %d with %d endpoints of %d slots",
 		s.Name, total-size.SlotsPerEndpoint, size.Endpoints, size.SlotsPerEndpoint)
 }
 
-// routeKey is what tells routes apart.
+// routeKey identifies a route.
 type routeKey struct{ method, prefix string }
 
-// checkDuplicateRoutes wants each method and path prefix to lead to one service.
+// checkDuplicateRoutes checks that each combination of method and path prefix belongs to one service.
 func (r *resolver) checkDuplicateRoutes(services []rollout.ServiceTemplate) {
 	owner := make(map[routeKey]fleet.Service)
 	for _, s := range services {
--- a/internal/template/doc.go
+++ b/internal/template/doc.go
@@ -1,8 +1,8 @@
-// Package template reads the templates and client accounts that operators write in TOML.
+// Package template reads the services and client accounts that operators write in TOML.
 //
-// A shared template holds the parameters of many services or accounts; a service or an
-// account names its template and overrides few of them. Load resolves them into
-// the rollout package's types. It returns a *tomlfile.ValidationError that lists every
-// fault of every file at once, each with the place where the value was written: that of the template
-// when the value came from there.
+// A template holds parameters that many services or accounts share; a service or account
+// names its template and overrides some of them. Load resolves them into the types of the
+// rollout package. Its *tomlfile.ValidationError lists the errors of all files at once, each
+// with the file and key where the value was written: those of the template for a value that
+// comes from a template.
 package template
--- a/internal/template/file.go
+++ b/internal/template/file.go
@@ -7,7 +7,7 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// file is one file of templates.
+// file is the content of one TOML file.
 type file struct {
 	Fleet            string                         `toml:"fleet"`
 	Templates        map[string]serviceParameters   `toml:"template"`
@@ -17,7 +17,7 @@
 	AccountLists     map[string]accountList         `toml:"accounts"`
 }
 
-// serviceParameters are the parameters of a service; nil where they are not given.
+// serviceParameters are the parameters of a service; nil if not set.
 type serviceParameters struct {
 	FloorSlots        *int           `toml:"floor_slots"`
 	Deadline          *time.Duration `toml:"deadline"`
@@ -30,32 +30,32 @@
 	SlotsPerEndpoint  *int           `toml:"slots_per_endpoint"`
 }
 
-// serviceEntry is a service: a template's name and what it overrides.
+// serviceEntry is a service: the name of its template and the parameters that it overrides.
 type serviceEntry struct {
 	Template string `toml:"template"`
 	serviceParameters
 }
 
-// route is one route. "{service}" in the path prefix stands for the service's name.
+// route is one route. "{service}" in the path prefix is replaced by the service's name.
 type route struct {
 	Method     string `toml:"method"`
 	PathPrefix string `toml:"path_prefix"`
 	Idempotent bool   `toml:"idempotent"`
 }
 
-// accountParameters are the parameters of an account; nil where they are not given.
+// accountParameters are the parameters of an account; nil if not set.
 type accountParameters struct {
 	Services *[]fleet.Service `toml:"services"`
 	Weight   *int             `toml:"weight"`
 }
 
-// accountEntry is an account: a template's name and what it overrides.
+// accountEntry is an account: the name of its template and the parameters that it overrides.
 type accountEntry struct {
 	Template string `toml:"template"`
 	accountParameters
 }
 
-// accountList names accounts that override nothing.
+// accountList lists accounts of one template that override nothing.
 type accountList struct {
 	Template string          `toml:"template"`
 	Names    []fleet.Account `toml:"names"`
--- a/internal/template/load.go
+++ b/internal/template/load.go
@@ -12,13 +12,13 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// Bounds of what is read.
+// Limits on the input of Load.
 const (
 	MaxFileBytes = 32 << 20
 	MaxFiles     = 1000
 )
 
-// Set is what the templates of a fleet resolve to.
+// Set is the resolved configuration of a fleet.
 type Set struct {
 	Fleet    string
 	Services []rollout.ServiceTemplate // Sorted by name.
@@ -26,20 +26,20 @@
 	Sizes    map[fleet.Service]Size
 }
 
-// Size is what the operator expects of a service's endpoints. It is checked against the
-// floor, and is no part of the configuration.
+// Size is the capacity that the operator expects a service to have. The floor is checked
+// against it; it is not part of the configuration.
 type Size struct {
-	Endpoints        int // 0 when it is not given.
-	SlotsPerEndpoint int // 0 when it is not given.
+	Endpoints        int // 0 if not set.
+	SlotsPerEndpoint int // 0 if not set.
 }
 
-// Source is one file of templates.
+// Source is the name and content of one file.
 type Source struct {
 	Name string
 	Data []byte
 }
 
-// Load reads the templates in a file, or in each file of a directory whose name ends with ".toml".
+// Load reads and resolves the templates in a file, or in all ".toml" files of a directory.
 // The error is a *tomlfile.ValidationError.
 func Load(path string) (*Set, error) {
 	sources, err := read(path)
@@ -91,7 +91,7 @@
 		return nil, fmt.Errorf("read templates: %w", err)
 	}
 	if len(names) == 0 || len(names) > MaxFiles {
-		return nil, fmt.Errorf("directory has %d files that end with .toml, outside 1 to %d", len(names), MaxFiles)
+		return nil, fmt.Errorf("directory has %d .toml files, must have 1 to %d", len(names), MaxFiles)
 	}
 	slices.Sort(names)
 	var sources []Source
@@ -111,7 +111,7 @@
 		return Source{}, fmt.Errorf("read templates: %w", err)
 	}
 	if info.Size() > MaxFileBytes {
-		return Source{}, fmt.Errorf("file %s of %d bytes is over %d", path, info.Size(), MaxFileBytes)
+		return Source{}, fmt.Errorf("file %s has %d bytes, the maximum is %d", path, info.Size(), MaxFileBytes)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -120,12 +120,12 @@
 	return Source{Name: path, Data: data}, nil
 }
 
-// trimName shortens a name for a fault's key.
+// trimName truncates a name for use in FieldError.Key.
 func trimName(name string) string {
-	const longest = 80
+	const maxBytes = 80
 	name = strings.ToValidUTF8(name, "?")
-	if len(name) > longest {
-		return name[:longest] + "..."
+	if len(name) > maxBytes {
+		return name[:maxBytes] + "..."
 	}
 	return name
 }
--- a/internal/template/resolve.go
+++ b/internal/template/resolve.go
@@ -10,16 +10,16 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// servicePlaceholder stands for the service's name in a path prefix.
+// servicePlaceholder is replaced by the service's name in path prefixes.
 const servicePlaceholder = "{service}"
 
-// Defaults of parameters that neither the entry nor its template gives.
+// Defaults of parameters that neither the entry nor its template sets.
 const (
 	defaultWeight  = 1
 	defaultMaxBody = 64 * tomlfile.KiB
 )
 
-// resolve turns what was read into a set, and checks it.
+// resolve resolves all entries that were read, and checks them.
 func (r *resolver) resolve() *Set {
 	if r.fleet.value == "" {
 		r.addError("templates", "fleet", "", "must be set in one of the files")
@@ -38,13 +38,14 @@
 	return set
 }
 
-// origin is the place in which a resolved parameter was written.
+// origin is where a resolved parameter was written.
 type origin struct {
 	file string
-	key  string // Of the entry or template, without the parameter.
+	key  string // Key of the entry or template, without the parameter.
 }
 
-// effectiveValue returns the entry's value, or else its template's, with its place.
+// effectiveValue returns the entry's own value, else its template's (shared), with its origin, and
+// whether there is one.
 func effectiveValue[T any](own, shared *T, ownAt, sharedAt origin) (T, origin, bool) {
 	switch {
 	case own != nil:
@@ -80,14 +81,14 @@
 	return s, size
 }
 
-// serviceTemplate returns the template that a service names; empty without one.
+// serviceTemplate returns the template that a service refers to; empty if none.
 func (r *resolver) serviceTemplate(at origin, name string) (serviceParameters, origin) {
 	if name == "" {
 		return serviceParameters{}, at
 	}
 	template, ok := r.templates[name]
 	if !ok {
-		r.addError(at.file, at.key+".template", tomlfile.FormatValue(name), "no such template; there are %v", sortedKeys(r.templates))
+		r.addError(at.file, at.key+".template", tomlfile.FormatValue(name), "no such template; the templates are %v", sortedKeys(r.templates))
 		return serviceParameters{}, at
 	}
 	return template.value, origin{file: template.file, key: "template." + trimName(name)}
@@ -96,7 +97,7 @@
 func (r *resolver) resolveRoutes(name fleet.Service, own, shared *[]route, at, sharedAt origin) []rollout.Route {
 	routes, place, _ := effectiveValue(own, shared, at, sharedAt)
 	if len(routes) == 0 {
-		r.addError(place.file, place.key+".routes", "", "must hold at least one route")
+		r.addError(place.file, place.key+".routes", "", "must contain at least one route")
 	}
 	var out []rollout.Route
 	for _, route := range routes {
@@ -117,7 +118,7 @@
 	if entry.value.Template != "" {
 		template, ok := r.accountTemplates[entry.value.Template]
 		if !ok {
-			r.addError(at.file, at.key+".template", tomlfile.FormatValue(entry.value.Template), "no such account template; there are %v", sortedKeys(r.accountTemplates))
+			r.addError(at.file, at.key+".template", tomlfile.FormatValue(entry.value.Template), "no such account template; the account templates are %v", sortedKeys(r.accountTemplates))
 		} else {
 			shared, sharedAt = template.value, origin{file: template.file, key: "account_template." + trimName(entry.value.Template)}
 		}
@@ -129,7 +130,8 @@
 	return a
 }
 
-// resolveServices checks the services that an account may call. Faults of a shared template are found once, by checkTemplates.
+// resolveServices returns the services that an account may call. It checks only the account's own
+// list; lists of templates are checked once, by checkTemplates.
 func (r *resolver) resolveServices(own, shared *[]fleet.Service, at, sharedAt origin) []fleet.Service {
 	services, place, given := effectiveValue(own, shared, at, sharedAt)
 	if !given {
--- a/internal/template/resolver.go
+++ b/internal/template/resolver.go
@@ -8,13 +8,13 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// located is a value with the file that it was read from.
+// located is a value and the file that it was read from.
 type located[T any] struct {
 	value T
 	file  string
 }
 
-// resolver gathers the files of a fleet, then resolves them.
+// resolver collects the entries of all files of a fleet, then resolves them.
 type resolver struct {
 	fieldErrors      []tomlfile.FieldError
 	fleet            located[string]
@@ -22,7 +22,7 @@
 	services         map[fleet.Service]located[serviceEntry]
 	accountTemplates map[string]located[accountParameters]
 	accounts         map[fleet.Account]located[accountEntry]
-	accountKeys      map[fleet.Account]string // Where each account is written.
+	accountKeys      map[fleet.Account]string // Key at which each account was written.
 }
 
 func newResolver() *resolver {
@@ -35,7 +35,7 @@
 	}
 }
 
-// addError records a fault.
+// addError records an error.
 func (r *resolver) addError(file, key, value, format string, args ...any) {
 	c := tomlfile.Collector{File: file}
 	c.Add(key, value, format, args...)
@@ -52,7 +52,7 @@
 	return &tomlfile.ValidationError{Fields: r.fieldErrors}
 }
 
-// read decodes one file and takes in what it holds.
+// read decodes one file and adds its entries.
 func (r *resolver) read(source Source) {
 	var f file
 	c := &tomlfile.Collector{File: source.Name}
@@ -75,17 +75,17 @@
 		return
 	}
 	if r.fleet.value != "" && r.fleet.value != name {
-		r.addError(file, "fleet", tomlfile.FormatValue(name), "is %q in %s", r.fleet.value, r.fleet.file)
+		r.addError(file, "fleet", tomlfile.FormatValue(name), "differs from %q in %s", r.fleet.value, r.fleet.file)
 		return
 	}
 	r.fleet = located[string]{value: name, file: file}
 }
 
-// addEntries takes in the entries of one kind; each name may be given once.
+// addEntries adds the entries of one kind, and reports each name that was already read.
 func addEntries[K ~string, T any](r *resolver, file, prefix string, from map[K]T, into map[K]located[T]) {
 	for _, name := range sortedKeys(from) {
 		if before, ok := into[name]; ok {
-			r.addError(file, prefix+trimName(string(name)), "", "is also in %s", before.file)
+			r.addError(file, prefix+trimName(string(name)), "", "is already defined in %s", before.file)
 			continue
 		}
 		into[name] = located[T]{value: from[name], file: file}
@@ -94,7 +94,7 @@
 
 func (r *resolver) addAccount(file, key string, name fleet.Account, entry accountEntry) {
 	if before, ok := r.accounts[name]; ok {
-		r.addError(file, key, tomlfile.FormatValue(string(name)), "is also in %s at %s", before.file, r.accountKeys[name])
+		r.addError(file, key, tomlfile.FormatValue(string(name)), "is already defined in %s at %s", before.file, r.accountKeys[name])
 		return
 	}
 	r.accounts[name] = located[accountEntry]{value: entry, file: file}
@@ -103,7 +103,7 @@
 
 func (r *resolver) addAccountList(file, key string, list accountList) {
 	if len(list.Names) == 0 {
-		r.addError(file, key+".names", "", "must hold at least one name")
+		r.addError(file, key+".names", "", "must contain at least one name")
 	}
 	for _, name := range list.Names {
 		r.addAccount(file, key+".names", name, accountEntry{Template: list.Template})
--- a/internal/template/template_test.go
+++ b/internal/template/template_test.go
@@ -43,14 +43,14 @@
 
 func fieldErrors(t *testing.T, err error) []tomlfile.FieldError {
 	t.Helper()
-	var faults *tomlfile.ValidationError
-	if !errors.As(err, &faults) {
-		t.Fatalf("error %v is no list of faults", err)
+	var invalid *tomlfile.ValidationError
+	if !errors.As(err, &invalid) {
+		t.Fatalf("error %v is not a ValidationError", err)
 	}
-	return faults.Fields
+	return invalid.Fields
 }
 
-func TestServicesTakeTheirTemplatesParameters(t *testing.T) {
+func TestServicesInheritTemplateParameters(t *testing.T) {
 	set, err := parse(valid)
 	if err != nil {
 		t.Fatal(err)
@@ -68,12 +68,12 @@
 	if len(set.Accounts) != 3 || set.Accounts[2].Weight != 3 || set.Accounts[0].Weight != 1 || len(set.Accounts[0].Services) != 2 {
 		t.Fatalf("accounts %+v", set.Accounts)
 	}
-	if faults := set.Config().Validate(); len(faults) > 0 {
-		t.Fatal(faults)
+	if invalid := set.Config().Validate(); len(invalid) > 0 {
+		t.Fatal(invalid)
 	}
 }
 
-func TestOneParameterOfATemplateReachesAllItsServices(t *testing.T) {
+func TestTemplateParameterAppliesToAllItsServices(t *testing.T) {
 	set, err := parse(strings.Replace(valid, "floor_slots = 4", "floor_slots = 5", 1))
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestEveryFaultIsListedAtOnce(t *testing.T) {
+func TestParseReportsEveryInvalidField(t *testing.T) {
 	_, err := parse(`
 fleet = "f"
 colour = "red"
@@ -135,7 +135,7 @@
 		"service.stock.routes[0]", "account_template.brewer.services[1]", "account_template.brewer.services[2]",
 		"account_template.brewer.weight", "account.lost.template", "account.lost.services", "accounts.rest.names", "accounts.empty.names"} {
 		if !got[key] {
-			t.Errorf("the fault of %s is not listed", key)
+			t.Errorf("no error is reported for %s", key)
 		}
 	}
 	if t.Failed() {
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestFilesOfADirectory(t *testing.T) {
+func TestLoadDirectory(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
@@ -158,7 +158,7 @@
 	}
 	write("c.toml", "fleet = \"g\"\n[service.stock]\ntemplate = \"lookup\"\n[account.late]\ntemplate = \"brewer\"\n")
 	_, err = Load(dir)
-	if faults := fieldErrors(t, err); len(faults) != 3 || !strings.HasSuffix(faults[0].File, "c.toml") {
+	if invalid := fieldErrors(t, err); len(invalid) != 3 || !strings.HasSuffix(invalid[0].File, "c.toml") {
 		t.Fatal(err)
 	}
 	for _, path := range []string{filepath.Join(dir, "none"), t.TempDir()} {
@@ -167,7 +167,7 @@
 	}
 }
 
-// FuzzParse wants what Parse takes to be taken by the rollout package too.
+// FuzzParse checks that the rollout package accepts every configuration that Parse accepts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte("fleet = 3\n[service]\nx = 1\n"))
@@ -178,8 +178,8 @@
 		if err != nil {
 			return
 		}
-		if faults := set.Config().Validate(); len(faults) > 0 {
-			t.Fatalf("taken with faults %v", faults)
+		if invalid := set.Config().Validate(); len(invalid) > 0 {
+			t.Fatalf("Parse accepted a configuration with invalid fields: %v", invalid)
 		}
 		if _, err := rollout.EncodeHead(rollout.Head{Fleet: set.Fleet}); err != nil {
 			t.Fatal(err)
@@ -187,8 +187,8 @@
 	})
 }
 
-// TestEveryKeyIsOnTheOperatorsPage wants each parameter named on the page.
-func TestEveryKeyIsOnTheOperatorsPage(t *testing.T) {
+// TestOperatingPageListsEveryKey checks that the templates page documents each parameter.
+func TestOperatingPageListsEveryKey(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operating/templates.md")
 	if err != nil {
 		t.Fatal(err)
@@ -196,7 +196,7 @@
 	for _, parameters := range []reflect.Type{reflect.TypeFor[serviceParameters](), reflect.TypeFor[accountParameters](), reflect.TypeFor[route]()} {
 		for _, field := range reflect.VisibleFields(parameters) {
 			if key := field.Tag.Get("toml"); !strings.Contains(string(page), "`"+key+"`") {
-				t.Errorf("%s is not on the page", key)
+				t.Errorf("%s is missing from the page", key)
 			}
 		}
 	}
