--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -1,9 +1,9 @@
-// Package operate changes and reads the fleet's configuration in the platform's store, for
+// Package operate reads and changes the fleet's configuration in the platform's store, for
 // the operators' tool.
 //
-// A change is accepted when the compare-and-swap of the head succeeds, and never twice: a
-// writer that lost the reply looks for its change's ID in the head. When another operator
-// has changed the same template in the meantime, the writer is told what that was.
+// A change is accepted when the compare-and-swap of the head succeeds, and at most once: a
+// writer that got no reply looks for its change's ID in the head. If another operator has
+// changed the same template in the meantime, the writer gets a ConflictError with the differences.
 package operate
 
 import (
@@ -20,24 +20,24 @@
 	"github.com/damaskcove/damaskcove/internal/storekeys"
 )
 
-// ErrConflict is what a ConflictError wraps.
+// ErrConflict is wrapped by ConflictError.
 var ErrConflict = errors.New("configuration changed by another operator")
 
-// ErrNoChange says that a change touches no template.
-var ErrNoChange = errors.New("change touches no template")
+// ErrNoChange means that a change is empty.
+var ErrNoChange = errors.New("change contains no template")
 
-// ConflictError says that another operator changed a template that the change touches too.
+// ConflictError means that another operator changed a template that the change contains too.
 // Nothing was written.
 type ConflictError struct {
-	Base        fleet.Revision       // Revision that the change was made from.
+	Base        fleet.Revision       // Revision that the change is based on.
 	Current     fleet.Revision       // Revision in the store.
-	Differences []rollout.Difference // What others changed in templates that the change touches.
+	Differences []rollout.Difference // What others changed in the templates of the change.
 }
 
-// Error names the revisions and lists the differences, one a line.
+// Error returns the two revisions, and then each difference on a line of its own.
 func (e *ConflictError) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%v: from revision %d, now %d", ErrConflict, e.Base, e.Current)
+	fmt.Fprintf(&b, "%v: change is based on revision %d, store is at %d", ErrConflict, e.Base, e.Current)
 	for _, d := range e.Differences {
 		b.WriteString("\n" + d.String())
 	}
@@ -47,30 +47,30 @@
 // Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// Accepted says how a change was accepted.
+// Accepted is the result of a successful Apply.
 type Accepted struct {
 	Revision        fleet.Revision
 	Config          *rollout.Config // After the change.
-	AlreadyAccepted bool            // It had been accepted by an earlier call.
+	AlreadyAccepted bool            // The change was accepted by an earlier call.
 }
 
-// minBackoff and maxBackoff bound the time before a failed call of the store is repeated.
+// minBackoff and maxBackoff bound the delay before a failed attempt is retried.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// Load reads the configuration. It is nil when there is none yet.
+// Load reads the configuration. It returns nil if there is none yet.
 func Load(ctx context.Context, store metastore.Store, fleetName string) (*rollout.Config, error) {
 	s := session{store: store, keys: storekeys.Keys{Fleet: fleetName}}
 	state, err := s.load(ctx)
 	return state.config, err
 }
 
-// Apply makes a change under changeID, which must be unique to it, and repeats calls that
-// fail until ctx ends. base is the configuration that the operator made the change from;
-// nil stands for the one that the store holds now. It returns a rollout.ValidationError, a
-// ConflictError, ErrNoChange, rollout.ErrTooLarge or what the store said last.
+// Apply makes a change and retries until ctx ends. changeID identifies the change and must be
+// unique to it. base is the configuration that the change is based on; nil means the one
+// that the store holds at the first attempt. The error is a rollout.ValidationError, a
+// ConflictError, ErrNoChange, rollout.ErrTooLarge, or the last error of the store.
 func Apply(ctx context.Context, store metastore.Store, fleetName string, base *rollout.Config, change rollout.Change, changeID string) (Accepted, error) {
 	change.ID = changeID
 	if change.Empty() {
@@ -79,12 +79,12 @@
 	s := session{store: store, keys: storekeys.Keys{Fleet: fleetName}}
 	backoff := minBackoff
 	for {
-		accepted, seen, err := s.attempt(ctx, base, change)
+		accepted, current, err := s.attempt(ctx, base, change)
 		if err == nil || !isRetryable(err) {
 			return accepted, err
 		}
 		if base == nil {
-			base = seen
+			base = current
 		}
 		if !pause(ctx, backoff) {
 			return Accepted{}, fmt.Errorf("change %q: %w", changeID, err)
@@ -93,13 +93,13 @@
 	}
 }
 
-// isRetryable reports whether a call may succeed when it is repeated. A lost reply and a
-// conflict are settled by reading the head again.
+// isRetryable reports whether another attempt may succeed. An attempt starts by reading the head,
+// which resolves an unknown result and a failed compare-and-swap.
 func isRetryable(err error) bool {
-	var faults *rollout.ValidationError
+	var invalid *rollout.ValidationError
 	var conflict *ConflictError
 	switch {
-	case errors.As(err, &faults), errors.As(err, &conflict):
+	case errors.As(err, &invalid), errors.As(err, &conflict):
 		return false
 	case errors.Is(err, rollout.ErrTooLarge), errors.Is(err, metastore.ErrTooLarge):
 		return false
@@ -110,7 +110,7 @@
 	}
 }
 
-// pause waits about d and reports whether ctx goes on.
+// pause waits between d/2 and d. It returns false if ctx ends first.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d/2 + rand.N(d/2+1))
 	defer timer.Stop()
@@ -122,7 +122,7 @@
 	}
 }
 
-// attempt reads the head, proposes the change and swaps the head, once. It returns the
+// attempt reads the head, proposes the change and swaps the head, once. It also returns the
 // configuration that it read.
 func (s session) attempt(ctx context.Context, base *rollout.Config, change rollout.Change) (Accepted, *rollout.Config, error) {
 	state, err := s.load(ctx)
@@ -146,19 +146,18 @@
 	return Accepted{Revision: next.Revision, Config: state.config.With(change, next.Revision)}, state.config, nil
 }
 
-// checkConflict returns a ConflictError when a template that the change touches differs between
-// base and current.
+// checkConflict returns a ConflictError if a template of the change differs between base and current.
 func checkConflict(base, current *rollout.Config, change rollout.Change) error {
 	if base == nil || current == nil || base.Revision == current.Revision {
 		return nil
 	}
-	touched := make(map[string]bool)
+	changed := make(map[string]bool)
 	for _, name := range change.TemplateNames() {
-		touched[name] = true
+		changed[name] = true
 	}
 	var theirs []rollout.Difference
 	for _, d := range rollout.Diff(base, current) {
-		if touched[d.Template] {
+		if changed[d.Template] {
 			theirs = append(theirs, d)
 		}
 	}
--- a/internal/operator/api/doc.go
+++ b/internal/operator/api/doc.go
@@ -1,5 +1,5 @@
-// Package api holds the JSON that the operator endpoints of an instance answer with.
+// Package api defines the JSON responses of an instance's operator endpoints.
 //
-// The endpoints listen on the instance's operator address and want the header
-// "Authorization: Bearer <token>", except PathHealth. Fields are only ever added.
+// The endpoints listen on the instance's operator address and require the header
+// "Authorization: Bearer <token>", except PathHealth. Fields are added but never removed.
 package api
--- a/internal/operator/query/follow.go
+++ b/internal/operator/query/wait.go
@@ -14,40 +14,40 @@
 	"github.com/damaskcove/damaskcove/internal/operator/api"
 )
 
-// Bounds of Follow.
+// Limits of WaitForRevision.
 const (
-	pollInterval        = 200 * time.Millisecond // Between two rounds.
-	maxParallelRequests = 64                     // Instances asked at once.
+	pollInterval        = 200 * time.Millisecond // Time between two polls.
+	maxParallelRequests = 64                     // Concurrent requests.
 )
 
-// Values of api.Member.Status that Follow reads.
+// Values of api.Member.Status of live instances.
 const (
 	statusAlive   = "alive"
 	statusSuspect = "suspect"
 )
 
-// ErrBehind is what a BehindError wraps.
+// ErrBehind is wrapped by BehindError.
 var ErrBehind = errors.New("instances are behind")
 
-// BehindInstance is a live instance that has not reported the revision.
+// BehindInstance is a live instance on which the revision is not active yet.
 type BehindInstance struct {
 	Instance fleet.InstanceID `json:"instance"`
-	Revision fleet.Revision   `json:"revision"` // As last reported; 0 when it never was.
-	Cause    string           `json:"cause"`    // Why it could not be asked; empty when it answered.
+	Revision fleet.Revision   `json:"revision"` // Last reported revision; 0 if none.
+	Cause    string           `json:"cause"`    // Why the request to it failed; empty if it succeeded.
 }
 
-// BehindError says which instances did not report the revision in time.
+// BehindError lists the instances that did not report the revision in time.
 type BehindError struct {
 	Revision fleet.Revision
-	Live     int // Live instances known.
+	Live     int // Number of live instances.
 	Behind   []BehindInstance
-	Cause    error // When no instance told who the others are.
+	Cause    error // Why the live instances could not be determined; nil if they were.
 }
 
-// Error names each instance that is behind.
+// Error lists the instances that are behind.
 func (e *BehindError) Error() string {
 	if e.Live == 0 {
-		return fmt.Sprintf("%v: no instance answered: %v", ErrBehind, e.Cause)
+		return fmt.Sprintf("%v: no instance responded: %v", ErrBehind, e.Cause)
 	}
 	names := make([]string, 0, len(e.Behind))
 	for _, lag := range e.Behind {
@@ -57,26 +57,26 @@
 		}
 		names = append(names, name)
 	}
-	return fmt.Sprintf("%v revision %d: %d of %d: %s", ErrBehind, e.Revision, len(e.Behind), e.Live, strings.Join(names, ", "))
+	return fmt.Sprintf("%v revision %d: %d of %d live instances: %s", ErrBehind, e.Revision, len(e.Behind), e.Live, strings.Join(names, ", "))
 }
 
 // Unwrap returns ErrBehind.
 func (e *BehindError) Unwrap() error { return ErrBehind }
 
-// WaitForRevision waits until every live instance has at least the revision in force, or ctx ends. The
-// first clients tell who is live; then each live instance is asked itself. It returns the number
-// of live instances, or a *BehindError, or ErrNotAuthorized.
+// WaitForRevision waits until the active revision of every live instance is at least revision, or
+// ctx ends. It gets the live instances from the first clients, then polls each live instance
+// itself. It returns the number of live instances. The error is a *BehindError or ErrNotAuthorized.
 func WaitForRevision(ctx context.Context, first []*Client, revision fleet.Revision) (int, error) {
-	f := waiter{first: first, revision: revision, reported: make(map[fleet.Ref]fleet.Revision)}
+	w := waiter{first: first, revision: revision, reported: make(map[fleet.Ref]fleet.Revision)}
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		// A round that has begun is let finish after ctx has ended: it says who is behind.
-		live, err := f.liveInstances(context.WithoutCancel(ctx))
+		// A poll that has started continues after ctx ends, because it finds out who is behind.
+		live, err := w.liveInstances(context.WithoutCancel(ctx))
 		if errors.Is(err, ErrNotAuthorized) {
 			return 0, err
 		}
-		behind := f.poll(context.WithoutCancel(ctx), live)
+		behind := w.poll(context.WithoutCancel(ctx), live)
 		if len(live) > 0 && len(behind) == 0 {
 			return len(live), nil
 		}
@@ -88,21 +88,21 @@
 	}
 }
 
-// waiter follows one revision.
+// waiter waits for one revision.
 type waiter struct {
 	first    []*Client
 	revision fleet.Revision
-	reported map[fleet.Ref]fleet.Revision // Highest revision that each instance has reported.
+	reported map[fleet.Ref]fleet.Revision // Highest revision reported by each instance.
 }
 
-// liveInstances returns the live instances that the first clients know of. An instance that all of them
-// think dead or leaving does not count.
-func (f *waiter) liveInstances(ctx context.Context) ([]fleet.Instance, error) {
+// liveInstances returns the instances that at least one of the first clients reports as alive or
+// suspect, and the first instances themselves unless they are stopping.
+func (w *waiter) liveInstances(ctx context.Context) ([]fleet.Instance, error) {
 	type answer struct {
 		status api.Status
 		err    error
 	}
-	answers := iter.Map(f.first, func(c **Client) answer {
+	answers := iter.Map(w.first, func(c **Client) answer {
 		status, err := (*c).Status(ctx)
 		return answer{status, err}
 	})
@@ -113,7 +113,7 @@
 			failed = firstError(failed, a.err)
 			continue
 		}
-		f.record(a.status.Self.Ref, a.status.Revision)
+		w.record(a.status.Self.Ref, a.status.Revision)
 		if a.status.Phase != api.PhaseStopping {
 			live[a.status.Self.Ref] = a.status.Self
 		}
@@ -131,7 +131,7 @@
 	return out, failed
 }
 
-// firstError keeps the first failure, unless a later one says that the token was refused.
+// firstError returns first, unless next is ErrNotAuthorized.
 func firstError(first, next error) error {
 	if first == nil || errors.Is(next, ErrNotAuthorized) {
 		return next
@@ -139,26 +139,26 @@
 	return first
 }
 
-func (f *waiter) record(ref fleet.Ref, revision fleet.Revision) {
-	f.reported[ref] = max(f.reported[ref], revision)
+func (w *waiter) record(ref fleet.Ref, revision fleet.Revision) {
+	w.reported[ref] = max(w.reported[ref], revision)
 }
 
-// poll asks each live instance that is behind, and returns those that still are.
-func (f *waiter) poll(ctx context.Context, live []fleet.Instance) []BehindInstance {
+// poll requests the active revision from each live instance that is behind, and returns those that still are.
+func (w *waiter) poll(ctx context.Context, live []fleet.Instance) []BehindInstance {
 	var due []fleet.Instance
 	for _, instance := range live {
-		if f.reported[instance.Ref] < f.revision {
+		if w.reported[instance.Ref] < w.revision {
 			due = append(due, instance)
 		}
 	}
 	type answer struct {
-		inForce api.ActiveConfig
-		err     error
+		active api.ActiveConfig
+		err    error
 	}
 	mapper := iter.Mapper[fleet.Instance, answer]{MaxGoroutines: maxParallelRequests}
 	answers := mapper.Map(due, func(instance *fleet.Instance) answer {
-		inForce, err := f.request(ctx, *instance)
-		return answer{inForce, err}
+		active, err := w.request(ctx, *instance)
+		return answer{active, err}
 	})
 	var behind []BehindInstance
 	for i, a := range answers {
@@ -167,26 +167,26 @@
 		switch {
 		case a.err != nil:
 			cause = a.err.Error()
-		case a.inForce.Self == ref:
-			f.record(ref, a.inForce.Revision)
+		case a.active.Self == ref:
+			w.record(ref, a.active.Revision)
 		default:
-			cause = fmt.Sprintf("its address is now %v's", a.inForce.Self)
+			cause = fmt.Sprintf("its address now belongs to %v", a.active.Self)
 		}
-		if f.reported[ref] < f.revision {
-			behind = append(behind, BehindInstance{Instance: ref.ID, Revision: f.reported[ref], Cause: cause})
+		if w.reported[ref] < w.revision {
+			behind = append(behind, BehindInstance{Instance: ref.ID, Revision: w.reported[ref], Cause: cause})
 		}
 	}
 	return behind
 }
 
-// errNoOperatorAddr says that an instance does not tell where it can be asked.
-var errNoOperatorAddr = errors.New("its operator address is not known")
+// errNoOperatorAddr means that an instance does not advertise an operator address.
+var errNoOperatorAddr = errors.New("its operator address is unknown")
 
-func (f *waiter) request(ctx context.Context, instance fleet.Instance) (api.ActiveConfig, error) {
+func (w *waiter) request(ctx context.Context, instance fleet.Instance) (api.ActiveConfig, error) {
 	if instance.OperatorAddr == "" {
 		return api.ActiveConfig{}, errNoOperatorAddr
 	}
-	c, err := New(instance.OperatorAddr, f.first[0].token)
+	c, err := New(instance.OperatorAddr, w.first[0].token)
 	if err != nil {
 		return api.ActiveConfig{}, err
 	}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,7 +1,7 @@
-// Package operator serves the operators' endpoints of an instance on an address of
-// their own: health, status, metrics and an explanation of where a request would go.
+// Package operator serves an instance's operator endpoints on a separate address: health
+// check, status, metrics and an explanation of where a request would go.
 //
-// Every path but api.PathHealth wants "Authorization: Bearer <token>".
+// Every path except api.PathHealth requires "Authorization: Bearer <token>".
 package operator
 
 import (
@@ -22,17 +22,17 @@
 	"github.com/damaskcove/damaskcove/internal/operator/api"
 )
 
-// readHeaderTimeout bounds the time in which an operator's request must begin.
+// readHeaderTimeout bounds the time to read an operator's request headers.
 const readHeaderTimeout = 5 * time.Second
 
-// Source is what the endpoints show.
+// Source provides the contents of the responses.
 type Source interface {
 	Status() api.Status
 	Phase() api.Phase
 	Explain(method, path string, account fleet.Account) api.Explanation
 }
 
-// Server answers operators.
+// Server serves the operator endpoints.
 type Server struct {
 	source   Source
 	token    [sha256.Size]byte
@@ -40,7 +40,7 @@
 	server   *http.Server
 }
 
-// New listens on address, an IP number and port.
+// New returns a server that listens on address, an IP address and port.
 func New(address, token string, source Source) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return s.listener.Addr().String()
 }
 
-// Close stops listening. It is for a server that was never run.
+// Close closes the listener of a server that was never run.
 func (s *Server) Close() error {
 	return s.listener.Close()
 }
@@ -78,8 +78,8 @@
 	return fmt.Errorf("serve operators on %q: %w", s.Addr(), err)
 }
 
-// requireToken refuses requests without the token. Digests are compared so that the time
-// taken tells nothing of the token's length.
+// requireToken rejects requests without the token. It compares digests, so that the time taken does
+// not reveal the length of the token.
 func (s *Server) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
