--- a/cmd/damaskcove/main.go
+++ b/cmd/damaskcove/main.go
@@ -28,7 +28,7 @@
 	exitAddress  = 3
 )
 
-// flushTimeout bounds the sending of the last spans.
+// flushTimeout bounds the export of the remaining spans at exit.
 const flushTimeout = 3 * time.Second
 
 func main() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// exitStatus tells a settings fault and an address in use from other failures.
+// exitStatus distinguishes invalid settings and an address in use from other errors.
 func exitStatus(err error) int {
 	switch {
 	case errors.Is(err, errSettings):
@@ -49,14 +49,14 @@
 	}
 }
 
-var errSettings = errors.New("settings have faults")
+var errSettings = errors.New("invalid settings")
 
 func command() *cobra.Command {
 	var path string
 	run := &cobra.Command{
 		Use:          "damaskcove",
 		Short:        "Run one entry instance of the fleet",
-		Long:         "damaskcove runs one entry instance. It serves until it gets SIGTERM or SIGINT, and\nthen makes a planned stop, which cuts off no request in flight.",
+		Long:         "damaskcove runs one entry instance. It serves until it receives SIGTERM or SIGINT, and\nthen makes a planned stop, which completes the requests in flight.",
 		Example:      "  damaskcove --settings /etc/damaskcove.toml\n  damaskcove example > damaskcove.toml\n  damaskcove check --settings damaskcove.toml",
 		Args:         cobra.NoArgs,
 		SilenceUsage: true,
@@ -65,14 +65,14 @@
 	run.PersistentFlags().StringVar(&path, "settings", "damaskcove.toml", "settings file")
 	run.AddCommand(&cobra.Command{
 		Use:     "check",
-		Short:   "Check the settings file and list every fault",
+		Short:   "Check the settings file and list every error",
 		Example: "  damaskcove check --settings damaskcove.toml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if _, err := load(path); err != nil {
 				return err
 			}
-			_, err := fmt.Fprintf(c.OutOrStdout(), "%s: no fault\n", path)
+			_, err := fmt.Fprintf(c.OutOrStdout(), "%s: settings are valid\n", path)
 			return err
 		},
 	}, &cobra.Command{
@@ -96,7 +96,7 @@
 	return s, nil
 }
 
-// serve runs lives of the instance until a planned stop or a failure.
+// serve runs incarnations of the instance until a planned stop or an error.
 func serve(ctx context.Context, path string) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -126,7 +126,7 @@
 	return withResultCode(node.RunLives(ctx, options, func(*node.Node) {}))
 }
 
-// withResultCode adds the result code that operators look up.
+// withResultCode adds the result code of an error to its text, so that operators can look it up.
 func withResultCode(err error) error {
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return fmt.Errorf("code %d: %w", result.CodeAddressInUse, err)
@@ -138,6 +138,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	if err := flush(ctx); err != nil {
-		log.Warn("spans not sent", "error", err.Error())
+		log.Warn("export of the remaining spans failed; they are lost", "error", err.Error())
 	}
 }
--- a/cmd/damaskcove/processes_test.go
+++ b/cmd/damaskcove/processes_test.go
@@ -22,8 +22,8 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// processTimeout bounds every wait of these tests. It judges no speed: a wait that
-// reaches it has failed for good.
+// processTimeout bounds every wait of these tests. It is no performance bound: a wait that
+// reaches it would never succeed.
 const processTimeout = 2 * time.Minute
 
 // binaries are the daemon and the operators' tool, built once for all tests.
@@ -102,11 +102,11 @@
 	}
 }
 
-// addresses counts the loopback addresses handed out.
+// addresses is the number of loopback addresses assigned so far.
 var addresses atomic.Int32
 
-// Loopback addresses of these tests: each has an IP number of its own, out of a
-// network that the process ID picks, so that no two programs are given the same.
+// Loopback addresses of these tests: each has its own IP address, out of a network
+// chosen by the process ID, so that no two programs get the same.
 const (
 	testPort      = 18080
 	firstNetwork  = 20
@@ -213,7 +213,7 @@
 	return s
 }
 
-// apply puts the templates in force at every instance.
+// apply applies the templates and waits until they are active on every instance.
 func (s *system) apply(t *testing.T) {
 	t.Helper()
 	templates := write(t, filepath.Join(s.dir, "templates.toml"), processTemplates)
@@ -236,7 +236,8 @@
 	}
 }
 
-// isServing reports whether every instance answers discovery with as many entries as there are instances, or three.
+// isServing reports whether every instance answers discovery with a ticket and with at least
+// as many entries as there are instances, or three.
 func (s *system) isServing() bool {
 	for _, entry := range s.entries {
 		var d client.Discovery
@@ -264,15 +265,15 @@
 	return json.Unmarshal(data, into)
 }
 
-// outcomes counts what callers were outcomes.
+// outcomes counts the final results that callers got.
 type outcomes struct {
 	mu                        sync.Mutex
 	answered, notRun, unknown int
 	mismatched                []string
 }
 
-// sendOrder sends one sendOrder and counts what its caller is told in the end.
-func (s *system) sendOrder(c *client.Client, id string, sum *outcomes) {
+// sendOrder sends one order and counts its final result.
+func (s *system) sendOrder(c *client.Client, id string, results *outcomes) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	a, err := c.Do(ctx, client.Request{
@@ -280,26 +281,26 @@
 		Header: http.Header{upstream.HeaderRequestID: {id}},
 	})
 	var none *client.NoAnswerError
-	sum.mu.Lock()
-	defer sum.mu.Unlock()
+	results.mu.Lock()
+	defer results.mu.Unlock()
 	switch {
 	case errors.As(err, &none) && none.Execution == client.ExecutionUnknown:
-		sum.unknown++
+		results.unknown++
 	case err != nil, a.Execution == client.ExecutionNotRun:
-		sum.notRun++
+		results.notRun++
 	case a.Execution == client.ExecutionUnknown:
-		sum.unknown++
+		results.unknown++
 	default:
-		sum.answered++
+		results.answered++
 		var body upstream.Answer
 		if json.Unmarshal(a.Body, &body) != nil || body.RequestID != id {
-			sum.mismatched = append(sum.mismatched, id)
+			results.mismatched = append(results.mismatched, id)
 		}
 	}
 }
 
-// sendOrders sends sendOrders one after another until stop is closed.
-func (s *system) sendOrders(t *testing.T, worker int, stop <-chan struct{}, sum *outcomes) {
+// sendOrders sends orders one after another until stop is closed.
+func (s *system) sendOrders(t *testing.T, worker int, stop <-chan struct{}, results *outcomes) {
 	c, err := client.New(client.Options{Entries: s.entries, Account: "brewer", Zone: "z1"})
 	if err != nil {
 		t.Error(err)
@@ -310,33 +311,34 @@
 		case <-stop:
 			return
 		default:
-			s.sendOrder(c, fmt.Sprintf("order-%d-%d", worker, i), sum)
+			s.sendOrder(c, fmt.Sprintf("order-%d-%d", worker, i), results)
 		}
 	}
 }
 
-// TestSeparateProcessesKeepTheirPromises kills one instance, freezes and thaws another and stops a third
-// as planned, while callers order, and then compares what they were told with what upstreams ran.
-func TestSeparateProcessesKeepTheirPromises(t *testing.T) {
+// TestSeparateProcessesKeepGuarantees sends orders while it kills one instance, pauses and
+// resumes another, and stops a third as planned. It guards against orders that run twice, responses
+// to another request, and results reported to callers that contradict what upstreams executed.
+func TestSeparateProcessesKeepGuarantees(t *testing.T) {
 	s := startSystem(t, 5)
-	sum := &outcomes{}
+	results := &outcomes{}
 	stop := make(chan struct{})
 	var workers sync.WaitGroup
 	for w := range 8 {
-		workers.Go(func() { s.sendOrders(t, w, stop, sum) })
+		workers.Go(func() { s.sendOrders(t, w, stop, results) })
 	}
-	s.waitForAnswers(t, sum, 100)
+	s.waitForAnswers(t, results, 100)
 	s.instances[0].signal(t, syscall.SIGKILL)
-	s.waitForAnswers(t, sum, 100)
+	s.waitForAnswers(t, results, 100)
 	s.instances[1].signal(t, syscall.SIGSTOP)
-	s.waitForAnswers(t, sum, 100)
+	s.waitForAnswers(t, results, 100)
 	s.instances[1].signal(t, syscall.SIGCONT)
-	s.waitForAnswers(t, sum, 100)
+	s.waitForAnswers(t, results, 100)
 	s.instances[2].signal(t, syscall.SIGTERM)
 	if code := s.instances[2].wait(t); code != 0 {
 		t.Errorf("planned stop ended with exit code %d, want 0", code)
 	}
-	s.waitForAnswers(t, sum, 100)
+	s.waitForAnswers(t, results, 100)
 	close(stop)
 	workers.Wait()
 	var summary upstream.Summary
@@ -346,22 +348,22 @@
 	if len(summary.Doubled) > 0 {
 		t.Errorf("orders that ran twice: %v", summary.Doubled)
 	}
-	if len(sum.mismatched) > 0 {
-		t.Errorf("answers of other requests: %v", sum.mismatched)
+	if len(results.mismatched) > 0 {
+		t.Errorf("responses to other requests: %v", results.mismatched)
 	}
-	if ran := summary.Orders; ran < sum.answered || ran > sum.answered+sum.unknown {
-		t.Errorf("upstreams ran %d orders; callers were told answered %d, unsure %d, not run %d", ran, sum.answered, sum.unknown, sum.notRun)
+	if ran := summary.Orders; ran < results.answered || ran > results.answered+results.unknown {
+		t.Errorf("upstreams ran %d orders; callers got %d answered, %d unknown, %d not run", ran, results.answered, results.unknown, results.notRun)
 	}
-	t.Logf("answered %d, not run %d, unsure %d; upstreams ran %d", sum.answered, sum.notRun, sum.unknown, summary.Orders)
+	t.Logf("answered %d, not run %d, unknown %d; upstreams ran %d", results.answered, results.notRun, results.unknown, summary.Orders)
 }
 
-// waitForAnswers waits until more orders have been answered.
-func (s *system) waitForAnswers(t *testing.T, sum *outcomes, more int) {
+// waitForAnswers waits until the given number of further orders have been answered.
+func (s *system) waitForAnswers(t *testing.T, results *outcomes, more int) {
 	t.Helper()
 	count := func() int {
-		sum.mu.Lock()
-		defer sum.mu.Unlock()
-		return sum.answered
+		results.mu.Lock()
+		defer results.mu.Unlock()
+		return results.answered
 	}
 	want := count() + more
 	for deadline := time.Now().Add(processTimeout); count() < want; {
@@ -372,12 +374,12 @@
 	}
 }
 
-func TestExitStatusTellsSettingsFaultsAndAddressesInUse(t *testing.T) {
+func TestExitStatusOfInvalidSettingsAndAddressInUse(t *testing.T) {
 	dir := t.TempDir()
 	bad := write(t, filepath.Join(dir, "bad.toml"), "[instance]\nid = \"a\"\nunknown = 1\n[listen]\nentry = \"localhost:80\"\n")
 	p := start(t, dir, "bad", binaries.daemon, "--settings", bad)
 	if code := p.wait(t); code != exitSettings {
-		t.Errorf("settings with faults: exit status %d, want %d", code, exitSettings)
+		t.Errorf("invalid settings: exit status %d, want %d", code, exitSettings)
 	}
 	output, err := os.ReadFile(p.log)
 	if err != nil {
@@ -385,7 +387,7 @@
 	}
 	for _, want := range []string{"bad.toml", "instance.unknown", "listen.entry", "localhost:80", "2500"} {
 		if !strings.Contains(string(output), want) {
-			t.Errorf("faults do not name %q:\n%s", want, output)
+			t.Errorf("output does not contain %q:\n%s", want, output)
 		}
 	}
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/damaskctl/apply.go
+++ b/cmd/damaskctl/apply.go
@@ -28,18 +28,18 @@
 	all       bool
 }
 
-const applyHelp = `apply makes what you changed in the templates the configuration of the fleet. The change is accepted
-as a whole, or not at all. It touches only the templates that you changed since you last
-applied them, which the file beside them (.damaskctl-base.json.gz) keeps.
+const applyHelp = `apply changes the configuration of the fleet to match your edits of the templates. The change is
+accepted as a whole, or not at all. It contains only the templates that you edited since you last
+applied them; what was applied is stored in a file beside them (.damaskctl-base.json.gz).
 
-When another operator has changed the same template in the meantime, nothing is written and
-you are told what they changed. Take that into your templates, look at "damaskctl diff",
-and apply with --rebase, which compares with the store in place of what you last knew.
+If another operator has changed the same template in the meantime, apply writes nothing and
+prints what they changed. Merge that into your templates, check with "damaskctl diff",
+and apply with --rebase, which compares with the store instead of what you last applied.
 
-A lost reply of the store is settled by the change's ID. If apply ends with exit code 6, run it again
-with the --change-id that it printed: the change is not made twice.
+The change's ID makes apply safe to repeat when a reply of the store is lost. If apply ends with exit
+code 6, run it again with the --change-id that it printed: the change is not made twice.
 
-With --wait it returns when every live instance reports the revision, or says who is behind.`
+With --wait, apply returns when every live instance reports the revision, or lists those that are behind.`
 
 func newApply() *cobra.Command {
 	var f applyFlags
@@ -56,9 +56,9 @@
 	}
 	f.store.add(c)
 	f.operators.add(c)
-	c.Flags().StringVar(&f.changeID, "change-id", "", "ID of the change, to repeat an apply whose result is unknown")
+	c.Flags().StringVar(&f.changeID, "change-id", "", "ID of the change, to retry an apply whose result is unknown")
 	c.Flags().StringVar(&f.author, "author", "", "your name, for other operators to see")
-	c.Flags().BoolVar(&f.rebase, "rebase", false, "compare with the store in place of what was last applied from here")
+	c.Flags().BoolVar(&f.rebase, "rebase", false, "compare with the store instead of what was last applied from here")
 	c.Flags().BoolVar(&f.all, "all", false, "show every difference")
 	c.Flags().BoolVar(&f.wait, "wait", false, "wait until every live instance reports the revision")
 	return c
@@ -91,13 +91,13 @@
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(w, "in force on all %d live instances\n", live)
+	_, _ = fmt.Fprintf(w, "active on all %d live instances\n", live)
 	return nil
 }
 
 // applySet makes the change and returns the configuration after it.
 func applySet(ctx context.Context, w io.Writer, store metastore.Store, f applyFlags, path string, set *template.Set) (*rollout.Config, error) {
-	wanted := set.Config()
+	desired := set.Config()
 	current, err := operate.Load(ctx, store, set.Fleet)
 	if err != nil {
 		return nil, err
@@ -106,24 +106,24 @@
 	if err != nil {
 		return nil, err
 	}
-	change := edit.ChangeBetween(base, wanted)
+	change := edit.ChangeBetween(base, desired)
 	change.Author = f.author
-	writeDifferences(w, "changes", rollout.Diff(base, wanted), f.all)
+	writeDifferences(w, "changes", rollout.Diff(base, desired), f.all)
 	if change.Empty() {
 		_, _ = fmt.Fprintf(w, "nothing to change at revision %d\n", revisionOf(current))
-		return current, writeBase(path, wanted, current)
+		return current, writeBase(path, desired, current)
 	}
 	_, _ = fmt.Fprintf(w, "change ID: %s\n", f.changeID)
-	noted := &unknownWriteRecorder{Store: store}
-	accepted, err := operate.Apply(ctx, noted, set.Fleet, base, change, f.changeID)
+	recorder := &unknownWriteRecorder{Store: store}
+	accepted, err := operate.Apply(ctx, recorder, set.Fleet, base, change, f.changeID)
 	if err != nil {
-		return nil, noted.wrapError(err, f.changeID)
+		return nil, recorder.wrapError(err, f.changeID)
 	}
 	_, _ = fmt.Fprintf(w, "accepted as revision %d\n", accepted.Revision)
-	return accepted.Config, writeBase(path, wanted, accepted.Config)
+	return accepted.Config, writeBase(path, desired, accepted.Config)
 }
 
-// writeBase keeps the templates as the base of the next apply.
+// writeBase stores the templates as the base of the next apply.
 func writeBase(path string, applied, accepted *rollout.Config) error {
 	if accepted == nil {
 		return nil
@@ -131,10 +131,10 @@
 	return edit.WriteBase(edit.BaseFile(path), applied, accepted)
 }
 
-// errNoBase says that it is not known what the operator started from.
-var errNoBase = errors.New("the store holds a configuration, and nothing was applied from here before")
+// errNoBase means that the templates have no base to compute a change from.
+var errNoBase = errors.New("the store has a configuration, but no templates were applied from here before")
 
-// loadBase returns the configuration that the operator started from.
+// loadBase returns the configuration that the operator's edits are based on.
 func loadBase(path string, current *rollout.Config, rebase bool) (*rollout.Config, error) {
 	if rebase {
 		return current, nil
@@ -144,12 +144,13 @@
 		return nil, err
 	}
 	if base == nil && current != nil {
-		return nil, &commandError{exit: exitConflict, err: fmt.Errorf("%w: look at \"damaskctl diff %s\" and apply with --rebase", errNoBase, path)}
+		return nil, &commandError{exit: exitConflict, err: fmt.Errorf("%w: check with \"damaskctl diff %s\" and apply with --rebase", errNoBase, path)}
 	}
 	return base, nil
 }
 
-// unknownWriteRecorder notes that the result of a write is unknown: a later read that fails tells nothing of it.
+// unknownWriteRecorder records whether a write had an unknown result, since the error of a later
+// failed read does not reveal that.
 type unknownWriteRecorder struct {
 	metastore.Store
 	unknownWrite bool
@@ -163,8 +164,8 @@
 	return version, err
 }
 
-// wrapError returns the error of an apply; with an unknown write before, only a conflict or a fault says
-// that nothing was changed.
+// wrapError returns the error of an apply. After a write with an unknown result, it marks every
+// error except a conflict or an invalid change as unknown: only those two show that nothing was changed.
 func (s *unknownWriteRecorder) wrapError(err error, changeID string) error {
 	if !s.unknownWrite || errors.Is(err, operate.ErrConflict) || errors.Is(err, rollout.ErrInvalid) {
 		return err
--- a/cmd/damaskctl/apply_test.go
+++ b/cmd/damaskctl/apply_test.go
@@ -18,7 +18,7 @@
 	"github.com/damaskcove/damaskcove/internal/operator/api"
 )
 
-// testStore is a platform's stand-in with the templates of one operator beside it.
+// testStore is a platform stand-in and the templates of one operator.
 type testStore struct {
 	t        *testing.T
 	server   *standin.Server
@@ -35,7 +35,7 @@
 	return testStore{t: t, server: server}.withNewOperator()
 }
 
-// withNewOperator returns the same store with the templates of another withNewOperator.
+// withNewOperator returns the same store with fresh templates of another operator.
 func (s testStore) withNewOperator() testStore {
 	s.t.Helper()
 	data, err := os.ReadFile("../../examples/qalqan/templates.toml")
@@ -54,7 +54,7 @@
 		s.t.Fatal(err)
 	}
 	if !strings.Contains(string(data), from) {
-		s.t.Fatalf("%q is not in the templates", from)
+		s.t.Fatalf("%q is missing from the templates", from)
 	}
 	writeFile(s.t, s.template, strings.Replace(string(data), from, to, 1))
 }
@@ -79,7 +79,7 @@
 	}
 	for _, text := range texts {
 		if !strings.Contains(o.stdout+o.stderr, text) {
-			t.Fatalf("%q is not in\n%s\n%s", text, o.stdout, o.stderr)
+			t.Fatalf("%q is missing from\n%s\n%s", text, o.stdout, o.stderr)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestTheLoserOfTwoOperatorsIsToldWhatTheOtherChanged(t *testing.T) {
+func TestConflictPrintsOtherOperatorsChange(t *testing.T) {
 	a := newStore(t)
 	a.run("apply").expect(t, exitDone)
 	b := a.withNewOperator()
@@ -129,7 +129,7 @@
 	a.run("apply").expect(t, exitConflict, "floor_slots: 27 -> 30")
 }
 
-func TestALostReplyDoesNotChangeTwice(t *testing.T) {
+func TestLostReplyDoesNotApplyTwice(t *testing.T) {
 	s := newStore(t)
 	s.server.Platform().UpdateFaults(func(f *standin.Faults) { f.LoseReplies = 1 })
 	s.run("apply").expect(t, exitDone, "accepted as revision 1")
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestAnUnknownResultIsSettledByTheChangeID(t *testing.T) {
+func TestApplyWithChangeIDSurvivesLostReplies(t *testing.T) {
 	s := newStore(t)
 	s.server.Platform().UpdateFaults(func(f *standin.Faults) { f.LoseReplies = 1_000_000 })
 	first := runCommand(context.Background(), "apply", s.template, "--platform", s.server.Addr(), "--timeout", "10s", "--change-id", "c1")
@@ -148,7 +148,7 @@
 	runCommand(context.Background(), "apply", s.template, "--platform", s.server.Addr(), "--timeout", "1s").expect(t, exitUnavailable, "2400")
 }
 
-func TestExplainOfAnUnknownWrite(t *testing.T) {
+func TestWrapErrorAfterUnknownWrite(t *testing.T) {
 	s := &unknownWriteRecorder{Store: standin.New(standin.Options{Faults: standin.Faults{LoseReplies: 1}})}
 	_, _ = s.CompareAndSwap(context.Background(), "k", 0, nil, 0)
 	if got := classify(s.wrapError(context.DeadlineExceeded, "c1")); got.exit != exitUnknown || !strings.Contains(got.Error(), "--change-id c1") {
@@ -159,7 +159,7 @@
 	}
 }
 
-// serveStatus serves the operator endpoints of an instance that knows of another.
+// serveStatus serves the operator endpoints of an instance whose members include a dead one.
 func serveStatus(t *testing.T, revision fleet.Revision) string {
 	t.Helper()
 	self := fleet.Instance{Ref: fleet.Ref{ID: "entry-9", Incarnation: 1}}
@@ -181,10 +181,10 @@
 	return self.OperatorAddr
 }
 
-func TestApplyWaitsOrSaysWhoIsBehind(t *testing.T) {
+func TestApplyWaitsOrReportsBehindInstances(t *testing.T) {
 	s := newStore(t)
 	token := writeFile(t, filepath.Join(t.TempDir(), "token"), "secret\n")
-	s.run("apply", "--wait", "--operator", serveStatus(t, 1), "--token-file", token).expect(t, exitDone, "in force on all 1 live instances")
+	s.run("apply", "--wait", "--operator", serveStatus(t, 1), "--token-file", token).expect(t, exitDone, "active on all 1 live instances")
 	s.edit("floor_slots = 27", "floor_slots = 30")
 	s.run("apply", "--wait", "--operator", serveStatus(t, 1), "--token-file", token, "--timeout", "1s").expect(t, exitBehind, "accepted as revision 2", "entry-9 at revision 1")
 	s.run("apply", "--wait", "--operator", serveStatus(t, 1)).expect(t, exitNotAuthorized, "2502 not-authorized")
@@ -198,7 +198,7 @@
 	runCommand(context.Background(), "explain", "/fabrics", "--account", "x", "--operator", address).expect(t, exitDone, "carried here")
 }
 
-func TestManyDifferencesAreCutShort(t *testing.T) {
+func TestManyDifferencesAreTruncated(t *testing.T) {
 	s := newStore(t)
 	var names []string
 	for i := range 2 * maxDifferences {
--- a/cmd/damaskctl/check.go
+++ b/cmd/damaskctl/check.go
@@ -19,13 +19,13 @@
 	var settingsFile string
 	c := &cobra.Command{
 		Use:   "check TEMPLATES",
-		Short: "Check templates and settings, and print what the parameters mean",
-		Long: `check reads a file of templates, or every .toml file of a directory, and lists every
-fault at once. For each service it prints the floor, the score at which an endpoint
-is ejected, and how long an endpoint that fails 30% of its work, or is ten times slower, is
-expected to keep receiving work at the traffic that the template states.
+		Short: "Check templates and settings, and print the effect of the parameters",
+		Long: `check reads a file of templates, or every .toml file of a directory, and lists all errors
+at once. For each service it prints the floor, the score at which an endpoint is ejected, and
+the expected time until an endpoint that fails 30% of its requests, or is ten times slower, is
+ejected at the request rate that the template gives.
 
-With --settings it checks the settings file of an instance, too; TEMPLATES may then be left out.`,
+With --settings it also checks the settings file of an instance; TEMPLATES may then be omitted.`,
 		Example: "  damaskctl check examples/bunya-ridge\n  damaskctl check --settings entry-1.toml",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -45,7 +45,7 @@
 		if err != nil {
 			return settingsError(err)
 		}
-		_, _ = fmt.Fprintf(w, "settings of instance %s of fleet %s: no fault\n", s.Instance.ID, s.Instance.Fleet)
+		_, _ = fmt.Fprintf(w, "settings of instance %s of fleet %s are valid\n", s.Instance.ID, s.Instance.Fleet)
 	}
 	if len(args) == 0 {
 		return nil
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(w, "templates of fleet %s: %d services, %d client accounts, no fault\n\n", set.Fleet, len(set.Services), len(set.Accounts))
+	_, _ = fmt.Fprintf(w, "templates of fleet %s are valid: %d services, %d client accounts\n\n", set.Fleet, len(set.Services), len(set.Accounts))
 	return writeServices(w, set)
 }
 
@@ -70,7 +70,7 @@
 
 func writeService(w io.Writer, s rollout.ServiceTemplate, size template.Size) {
 	if size.Endpoints == 0 {
-		_, _ = fmt.Fprintf(w, "%s\t?\t?\t%d\t?\t%g\tstate endpoints in the template for these\n", s.Name, s.FloorSlots, s.FalseEjectionsPerEndpointMonth)
+		_, _ = fmt.Fprintf(w, "%s\t?\t?\t%d\t?\t%g\tset endpoints in the template to compute these\n", s.Name, s.FloorSlots, s.FalseEjectionsPerEndpointMonth)
 		return
 	}
 	slots := size.Endpoints * size.SlotsPerEndpoint
--- a/cmd/damaskctl/demo.go
+++ b/cmd/damaskctl/demo.go
@@ -12,8 +12,8 @@
 	"github.com/damaskcove/damaskcove/internal/demo"
 )
 
-// errGuaranteeViolated says that the demo counted a broken promise.
-var errGuaranteeViolated = errors.New("a promise was broken")
+// errGuaranteeViolated means that the demo counted a violation of a guarantee.
+var errGuaranteeViolated = errors.New("a guarantee was violated")
 
 // defaultDemoDuration is the length of the demo without --duration.
 const defaultDemoDuration = 20 * time.Second
@@ -27,11 +27,11 @@
 	)
 	c := &cobra.Command{
 		Use:   "demo",
-		Short: "Run two firms' fleets on loopback, inject failures and count every promise",
+		Short: "Run two firms' fleets on loopback, inject failures and check every guarantee",
 		Long: "demo runs the platform's stand-in, the upstreams and the entry instances of two firms in one\n" +
-			"process, on loopback addresses only, with callers of both. It makes an upstream gray, cuts one\n" +
-			"direction of a link, takes the store away, changes a template, stops one instance as planned and\n" +
-			"kills another. It exits with a status other than 0 when a promise was broken.",
+			"process, on loopback addresses only, with callers of both. It degrades an upstream, cuts one\n" +
+			"direction of a link, makes the store unavailable, changes a template, stops one instance as planned\n" +
+			"and kills another. It exits with a status other than 0 if a guarantee was violated.",
 		Example: "  damaskctl demo\n  damaskctl demo --duration 20s --seed 1 --report json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/damaskctl/diff.go
+++ b/cmd/damaskctl/diff.go
@@ -20,7 +20,7 @@
 		Use:   "diff TEMPLATES",
 		Short: "Show what apply would change, and what others have changed",
 		Long: `diff compares the templates with the configuration in the store. It shows what you
-changed since you last applied them, and what others have changed since. It writes nothing.`,
+edited since you last applied them, and what others have changed since. It writes nothing.`,
 		Example: "  damaskctl diff examples/qalqan --platform 192.0.2.1:7070",
 		Args:    exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -50,18 +50,18 @@
 	return c
 }
 
-func writeDiff(w io.Writer, base, current, wanted *rollout.Config, all bool) {
+func writeDiff(w io.Writer, base, current, desired *rollout.Config, all bool) {
 	_, _ = fmt.Fprintf(w, "store: revision %d\n", revisionOf(current))
 	if base == nil {
-		_, _ = fmt.Fprintln(w, "templates: not applied from here before; compared with the store")
-		writeDifferences(w, "would change", rollout.Diff(current, wanted), all)
+		_, _ = fmt.Fprintln(w, "templates: not applied from here before; comparing with the store")
+		writeDifferences(w, "would change", rollout.Diff(current, desired), all)
 		return
 	}
-	writeDifferences(w, "changed here", rollout.Diff(base, wanted), all)
+	writeDifferences(w, "changed here", rollout.Diff(base, desired), all)
 	writeDifferences(w, "changed by others", rollout.Diff(base, current), all)
 }
 
-// maxDifferences bounds the differences that are shown of one kind, unless all are asked for.
+// maxDifferences bounds the differences shown per kind without --all.
 const maxDifferences = 100
 
 func writeDifferences(w io.Writer, title string, differences []rollout.Difference, all bool) {
--- a/cmd/damaskctl/explain.go
+++ b/cmd/damaskctl/explain.go
@@ -19,14 +19,14 @@
 	var method, account, format string
 	c := &cobra.Command{
 		Use:   "explain PATH",
-		Short: "Say where a request would go, and why",
-		Long: `explain asks an instance which route, service, entries and endpoints a request would get,
-what each endpoint's state rests on, and when an ejected one may return. It sends no request.`,
+		Short: "Show where a request would go, and why",
+		Long: `explain queries an instance for the route, service, entries and endpoints that a request would
+get, the reasons for each endpoint's state, and when an ejected one may return. The request itself is not sent.`,
 		Example: "  damaskctl explain /stock/amber --account amber-still --operator 192.0.2.11:8082 --token-file token",
 		Args:    exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if account == "" {
-				return usageError(fmt.Errorf("--account must be given"))
+				return usageError(fmt.Errorf("--account is required"))
 			}
 			clients, err := operators.open()
 			if err != nil {
--- a/cmd/damaskctl/fail.go
+++ b/cmd/damaskctl/fail.go
@@ -28,10 +28,10 @@
 	exitNotAuthorized = 8
 )
 
-// commandError is an error with the exit code and the result code that go with it.
+// commandError is an error with its exit code and result code.
 type commandError struct {
 	exit int
-	code result.Code // 0 when there is none.
+	code result.Code // 0 if there is none.
 	err  error
 }
 
@@ -42,12 +42,12 @@
 	return &commandError{exit: exitUsage, err: err}
 }
 
-// settingsError marks faults of a settings file.
+// settingsError marks an error of a settings file.
 func settingsError(err error) error {
 	return &commandError{exit: exitInvalidFile, code: result.CodeSettingsFault, err: err}
 }
 
-// reportError writes what went wrong and returns the exit code.
+// reportError writes an error, with its result code if any, and returns the exit code.
 func reportError(w io.Writer, err error) int {
 	if err == nil {
 		return exitDone
@@ -59,20 +59,20 @@
 	}
 	_, _ = fmt.Fprintf(w, "damaskctl: %v\n", err)
 	if f.exit == exitUsage {
-		_, _ = fmt.Fprintln(w, "See damaskctl help.")
+		_, _ = fmt.Fprintln(w, "Run \"damaskctl help\" for usage.")
 	}
 	return f.exit
 }
 
-// classify finds the codes of an error.
+// classify returns an error with its exit code and result code.
 func classify(err error) *commandError {
 	var f *commandError
 	if errors.As(err, &f) {
 		return f
 	}
-	var faults *tomlfile.ValidationError
+	var invalid *tomlfile.ValidationError
 	switch {
-	case errors.As(err, &faults), errors.Is(err, rollout.ErrInvalid):
+	case errors.As(err, &invalid), errors.Is(err, rollout.ErrInvalid):
 		return &commandError{exit: exitInvalidFile, code: result.CodeConfigFault, err: err}
 	case errors.Is(err, operate.ErrConflict):
 		return &commandError{exit: exitConflict, code: result.CodeConfigConflict, err: err}
--- a/cmd/damaskctl/fleet_test.go
+++ b/cmd/damaskctl/fleet_test.go
@@ -17,7 +17,7 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// startFleet runs a fleet of Qalqan's with its endpoints and no configuration yet.
+// startFleet starts a fleet of the Qalqan example with its endpoints, but without a configuration.
 func startFleet(t *testing.T, instances int) *local.Fleet {
 	t.Helper()
 	f, err := local.Start(local.Options{Name: string(examples.Qalqan), Region: examples.QalqanRegion, Seed: 1, StopTimeout: time.Minute})
@@ -52,8 +52,8 @@
 	return f
 }
 
-// TestOperatorsTasksOnARealFleet applies, waits, looks and loads, as an operator would.
-func TestOperatorsTasksOnARealFleet(t *testing.T) {
+// TestOperatorTasksOnRunningFleet runs apply --wait, status, explain and load against a running fleet.
+func TestOperatorTasksOnRunningFleet(t *testing.T) {
 	t.Setenv(tokenVariable, local.OperatorToken)
 	const instances = 4
 	f := startFleet(t, instances)
@@ -67,7 +67,7 @@
 	apply := func() commandResult {
 		return runCommand(context.Background(), "apply", dir, "--platform", f.PlatformAddr(), "--timeout", "1m", "--wait", "--operator", operator)
 	}
-	apply().expect(t, exitDone, "accepted as revision 1", "in force on all")
+	apply().expect(t, exitDone, "accepted as revision 1", "active on all")
 	ready, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if err := f.Ready(ready, 1); err != nil {
@@ -76,7 +76,7 @@
 
 	writeFile(t, file, strings.Replace(string(data), "floor_slots = 27", "floor_slots = 24", 1))
 	f.Platform.UpdateFaults(func(x *standin.Faults) { x.LoseReplies = 1 })
-	apply().expect(t, exitDone, "floor_slots: 27 -> 24", "accepted as revision 2", "in force on all 4 live instances")
+	apply().expect(t, exitDone, "floor_slots: 27 -> 24", "accepted as revision 2", "active on all 4 live instances")
 	for _, in := range f.Instances() {
 		if got := in.Node().Status().Revision; got != 2 {
 			t.Errorf("instance %s is at revision %d", in.ID, got)
--- a/cmd/damaskctl/load.go
+++ b/cmd/damaskctl/load.go
@@ -26,12 +26,12 @@
 	var accounts []string
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Send requests at a set rate and measure their answers",
+		Short: "Send requests at a given rate and measure the responses",
 		Long: `load is an open-loop generator: requests start at times drawn from the seed, however slow the
-answers are, and their time counts from the drawn start (corrected for coordinated omission).
+responses are, and latency counts from the drawn start (corrected for coordinated omission).
 
-With --entry it discovers the service's entries as a caller does, keeps the answer for its time, and
-connects there. With --direct it sends to upstream endpoints in turn, to compare with.`,
+With --entry it discovers the service's entries as a caller does, caches them for their max age, and
+sends to them. With --direct it sends to upstream endpoints in turn, as a baseline.`,
 		Example: "  damaskctl load --entry 127.0.0.1:8080 --service stock --account amber-still --path /stock/amber --rate 200 --duration 30s\n" +
 			"  damaskctl load --direct 127.0.0.1:9001 --account amber-still --path /stock/amber --report json",
 		Args: exactArgs(0),
@@ -54,10 +54,10 @@
 		},
 	}
 	f := c.Flags()
-	f.StringSliceVar(&o.Entries, "entry", nil, "IP number and port of an entry to discover at; may be repeated")
-	f.StringSliceVar(&o.Direct, "direct", nil, "IP number and port of an upstream endpoint to send to without the fleet; may be repeated")
+	f.StringSliceVar(&o.Entries, "entry", nil, "IP address and port of an entry to discover at; may be repeated")
+	f.StringSliceVar(&o.Direct, "direct", nil, "IP address and port of an upstream endpoint to send to without the fleet; may be repeated")
 	f.StringVar(&service, "service", "", "service to discover")
-	f.StringSliceVar(&accounts, "account", nil, "client account; may be repeated, then taken in turn (required)")
+	f.StringSliceVar(&accounts, "account", nil, "client account; may be repeated, then used in turn (required)")
 	f.StringVar(&zone, "zone", "", "availability zone nearest to the callers")
 	f.StringVar(&o.Method, "method", http.MethodGet, "method")
 	f.StringVar(&o.Path, "path", "/", "path and query")
@@ -65,11 +65,11 @@
 	f.BoolVar(&o.Keyed, "keyed", false, "requests are not idempotent and carry an idempotency key")
 	f.BoolVar(&o.Unkeyed, "unkeyed", false, "requests are not idempotent and carry no key")
 	f.Float64Var(&o.Rate, "rate", defaultRate, "requests a second")
-	f.DurationVar(&o.Duration, "duration", defaultDuration, "time that is measured")
-	f.DurationVar(&o.Warmup, "warmup", defaultWarmup, "time before it, sent and not counted")
-	f.DurationVar(&o.Timeout, "timeout", defaultRequestTime, "of one request")
-	f.IntVar(&o.Outstanding, "outstanding", defaultOutstanding, "requests under way at most")
-	f.Uint64Var(&o.Seed, "seed", 1, "of the times at which requests start")
+	f.DurationVar(&o.Duration, "duration", defaultDuration, "length of the measurement")
+	f.DurationVar(&o.Warmup, "warmup", defaultWarmup, "length of the traffic before the measurement, which is not counted")
+	f.DurationVar(&o.Timeout, "timeout", defaultRequestTime, "timeout of one request")
+	f.IntVar(&o.Outstanding, "outstanding", defaultOutstanding, "maximum number of concurrent requests")
+	f.Uint64Var(&o.Seed, "seed", 1, "seed of the times at which requests start")
 	f.StringVar(&format, "report", "table", `"table" or "json", one line`)
 	return c
 }
--- a/cmd/damaskctl/main_test.go
+++ b/cmd/damaskctl/main_test.go
@@ -16,7 +16,7 @@
 	"github.com/damaskcove/damaskcove/internal/settings"
 )
 
-// commandResult is what a command line gave.
+// commandResult is the result of a command line.
 type commandResult struct {
 	exit           int
 	stdout, stderr string
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestBadInputGivesItsCode(t *testing.T) {
+func TestExitCodesOfInvalidInput(t *testing.T) {
 	dir := t.TempDir()
 	badTemplates := writeFile(t, filepath.Join(dir, "bad.toml"), "fleet = 3\n[service.stock]\ntemplate = \"none\"\n")
 	badSettings := writeFile(t, filepath.Join(dir, "settings.toml"), "nonsense = 1\n")
@@ -94,7 +94,7 @@
 		{[]string{"diff", "../../examples/qalqan", "--platform", "localhost:1"}, exitUsage, "not an IP address"},
 		{[]string{"diff", "../../examples/qalqan", "--platform", "127.0.0.1:1", "--timeout", "1s"}, exitUnavailable, "2400 store-unavailable"},
 		{[]string{"apply", badTemplates, "--platform", "127.0.0.1:1"}, exitInvalidFile, "2200 config-fault"},
-		{[]string{"apply", "../../examples/qalqan", "--platform", "127.0.0.1:1", "--timeout", "0s"}, exitUsage, "must be over 0"},
+		{[]string{"apply", "../../examples/qalqan", "--platform", "127.0.0.1:1", "--timeout", "0s"}, exitUsage, "must be greater than 0"},
 		{[]string{"apply", "../../examples/qalqan", "--platform", "127.0.0.1:1", "--wait"}, exitUsage, "--operator"},
 		{[]string{"status"}, exitUsage, "--operator"},
 		{[]string{"status", "--operator", "127.0.0.1:1"}, exitUnavailable, "unreachable"},
@@ -113,11 +113,11 @@
 	}
 }
 
-func TestCheckPrintsWhatTheParametersMean(t *testing.T) {
+func TestCheckPrintsEffectOfParameters(t *testing.T) {
 	got := runCommand(context.Background(), "check", "../../examples/bunya-ridge")
 	for _, want := range []string{"3 services", "drums", "score limit", "detects 30% failing", "80"} {
 		if !strings.Contains(got.stdout, want) {
-			t.Errorf("%q is not in\n%s", want, got.stdout)
+			t.Errorf("%q is missing from\n%s", want, got.stdout)
 		}
 	}
 }
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestEveryCommandAndExitCodeIsOnTheOperatorsPage wants each command and exit code on the page.
-func TestEveryCommandAndExitCodeIsOnTheOperatorsPage(t *testing.T) {
+// TestOperatingPageListsEveryCommandAndExitCode checks that the damaskctl page documents each command and exit code.
+func TestOperatingPageListsEveryCommandAndExitCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operating/damaskctl.md")
 	if err != nil {
 		t.Fatal(err)
@@ -138,12 +138,12 @@
 	for _, c := range commands(newRoot()) {
 		name, _ := strings.CutPrefix(c.CommandPath(), "damaskctl ")
 		if c.Name() != "help" && c.Name() != "damaskctl" && !strings.Contains(string(page), "`"+name) {
-			t.Errorf("command %s is not on the page", name)
+			t.Errorf("command %s is missing from the page", name)
 		}
 	}
 	for exit := exitDone; exit <= exitNotAuthorized; exit++ {
 		if !strings.Contains(string(page), fmt.Sprintf("\n| %d | ", exit)) {
-			t.Errorf("exit code %d is not on the page", exit)
+			t.Errorf("exit code %d is missing from the page", exit)
 		}
 	}
 }
--- a/cmd/damaskctl/root.go
+++ b/cmd/damaskctl/root.go
@@ -4,13 +4,13 @@
 	"github.com/spf13/cobra"
 )
 
-const rootHelp = `damaskctl checks and changes the configuration of a damaskcove fleet, and looks into it.
+const rootHelp = `damaskctl checks and changes the configuration of a damaskcove fleet, and inspects the fleet.
 
-Exit codes: 0 done; 1 failed; 2 wrong use of the command line; 3 faults in a file;
-4 another operator changed the same template; 5 the store or an instance is away;
+Exit codes: 0 done; 1 failed; 2 invalid command line; 3 errors in a file;
+4 another operator changed the same template; 5 the store or an instance is unavailable;
 6 the result of a write is unknown; 7 instances are behind; 8 not authorized.`
 
-// newRoot returns the command line.
+// newRoot returns the root command.
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:               "damaskctl",
@@ -26,7 +26,7 @@
 	return root
 }
 
-// exactArgs returns a check of the number of arguments whose error is one of usage.
+// exactArgs is cobra.ExactArgs with a usage error.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
--- a/cmd/damaskctl/standin.go
+++ b/cmd/damaskctl/standin.go
@@ -16,15 +16,15 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// headerTimeout bounds the time in which a request to a stand-in's own endpoints must begin.
+// headerTimeout bounds the time to read the headers of a request to the admin endpoints.
 const headerTimeout = 5 * time.Second
 
 func newStandin() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "standin",
-		Short: "Run a stand-in of the platform or of upstreams, for trials",
-		Long: `standin runs a small stand-in, so that a fleet can be tried on one machine. It keeps nothing
-when it ends, and has no protection: run it on loopback addresses only.`,
+		Short: "Run a stand-in of the platform or of upstreams, for testing",
+		Long: `standin runs a small stand-in, so that a fleet can be tested on one machine. It stores its data in
+memory only, and has no access control: run it on loopback addresses only.`,
 		Example: "  damaskctl standin platform --settings platform.toml\n  damaskctl standin upstream --settings upstreams.toml",
 		Args:    exactArgs(0),
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
@@ -35,8 +35,8 @@
 
 // platformSettings are the settings of the platform's stand-in.
 type platformSettings struct {
-	Listen    string             `toml:"listen"`    // IP number and port.
-	ListLag   time.Duration      `toml:"list_lag"`  // Age of the list that is told.
+	Listen    string             `toml:"listen"`    // IP address and port.
+	ListLag   time.Duration      `toml:"list_lag"`  // Delay until a change of the list becomes visible.
 	Delay     time.Duration      `toml:"delay"`     // Before each call takes effect.
 	Upstreams []upstreamSettings `toml:"upstreams"` // Listed from the start.
 	Instances []instanceSettings `toml:"instances"` // Listed from the start, as hints for joining.
@@ -48,8 +48,8 @@
 		Use:   "platform",
 		Short: "Run a stand-in of the platform's store and instance list",
 		Long: `platform answers the platform's HTTP protocol: compare-and-swap, leases, watches and the list.
-Without --settings it listens on 127.0.0.1:7070 with an empty list. Faults are switched at
-` + standin.PathFaults + `, counts are told at ` + standin.PathCounts + `, and the list is set at ` + standin.PathListing + `.`,
+Without --settings it listens on 127.0.0.1:7070 with an empty list. Faults are set at
+` + standin.PathFaults + `, counts are read at ` + standin.PathCounts + `, and the list is set at ` + standin.PathListing + `.`,
 		Example: "  damaskctl standin platform --settings platform.toml\n" +
 			"  curl -X PUT -d '{\"store\":\"refuse\"}' http://127.0.0.1:7070" + standin.PathFaults,
 		Args: exactArgs(0),
@@ -76,7 +76,7 @@
 	return s, err
 }
 
-// readStandinSettings decodes a file, if one is named, and checks it.
+// readStandinSettings decodes a file, unless file is empty, and validates the settings.
 func readStandinSettings(file string, into any, check func(c *tomlfile.Collector)) error {
 	c := &tomlfile.Collector{File: file}
 	if file != "" {
@@ -107,7 +107,7 @@
 	return server.Close()
 }
 
-// serveAdmin serves a handler until ctx ends.
+// serveAdmin serves handler on listener until ctx ends.
 func serveAdmin(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
--- a/cmd/damaskctl/standin_listing.go
+++ b/cmd/damaskctl/standin_listing.go
@@ -13,7 +13,7 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// upstreamSettings is one endpoint of the platform's list.
+// upstreamSettings is one upstream endpoint on the platform's list.
 type upstreamSettings struct {
 	Service string `toml:"service"`
 	Address string `toml:"address"`
@@ -21,7 +21,7 @@
 	Slots   int    `toml:"slots"`
 }
 
-// instanceSettings is one entry instance of the platform's list.
+// instanceSettings is one entry instance on the platform's list.
 type instanceSettings struct {
 	ID     string `toml:"id"`
 	Zone   string `toml:"zone"`
@@ -30,7 +30,7 @@
 	Peer   string `toml:"peer"`
 }
 
-// listing returns the list that the settings hold, and whether they hold any.
+// listing returns the list in the settings, and whether it has any entries.
 func (s platformSettings) listing() (metastore.Listing, bool) {
 	l := metastore.Listing{Upstreams: make(map[fleet.Service][]fleet.Upstream)}
 	for _, u := range s.Upstreams {
@@ -66,14 +66,14 @@
 
 func validateAddress(c *tomlfile.Collector, key, text string) {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		c.Add(key, tomlfile.FormatValue(text), "must be an IP number and port; names are not taken")
+		c.Add(key, tomlfile.FormatValue(text), "must be an IP address and port; host names are not accepted")
 	}
 }
 
 func validateLoopback(c *tomlfile.Collector, key, text string) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil || !addr.Addr().IsLoopback() {
-		c.Add(key, tomlfile.FormatValue(text), `must be a loopback IP number and port, as "127.0.0.1:7070"`)
+		c.Add(key, tomlfile.FormatValue(text), `must be a loopback IP address and port, such as "127.0.0.1:7070"`)
 	}
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// addressError marks an address that is taken.
+// addressError adds the result code to the error of an address that is in use.
 func addressError(err error) error {
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return &commandError{exit: exitFailed, code: result.CodeAddressInUse, err: err}
--- a/cmd/damaskctl/standin_test.go
+++ b/cmd/damaskctl/standin_test.go
@@ -20,7 +20,7 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// startCommand runs a command until the test ends, and returns the last word of its first line.
+// startCommand runs a command until the test ends. It returns the last word of the first output line, which is the address.
 func startCommand(t *testing.T, args ...string) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -148,7 +148,7 @@
 	got.expect(t, exitDone, "from the drawn start", "no-answer")
 }
 
-func TestSettingsOfTheLocalStandinsAreValid(t *testing.T) {
+func TestExampleStandinSettingsAreValid(t *testing.T) {
 	if _, err := readPlatformSettings("../../examples/local/platform.toml"); err != nil {
 		t.Error(err)
 	}
--- a/cmd/damaskctl/standin_upstream.go
+++ b/cmd/damaskctl/standin_upstream.go
@@ -19,32 +19,32 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// Times of publishing to the platform's stand-in.
+// Timing of publishing the endpoints to the platform stand-in.
 const (
 	publishTimeout  = 2 * time.Second
 	publishInterval = time.Second
 )
 
-// Bounds of a group.
+// Limits of a group.
 const (
 	maxGroupEndpoints = 1000
-	highestPort       = 65535
+	maxPort           = 65535
 )
 
-// hostSettings are the settings of the upstreams' stand-in.
+// hostSettings are the settings of the upstream stand-in.
 type hostSettings struct {
-	Admin         string          `toml:"admin"`    // IP number and port at which faults are switched.
-	Platform      string          `toml:"platform"` // Platform stand-in that is told the endpoints; empty for none.
+	Admin         string          `toml:"admin"`    // IP address and port of the admin endpoints.
+	Platform      string          `toml:"platform"` // Platform stand-in to publish the endpoints to; empty for none.
 	Seed          int             `toml:"seed"`
 	RecordLookups bool            `toml:"record_lookups"`
 	Groups        []groupSettings `toml:"groups"`
 }
 
-// groupSettings are endpoints that are alike, on consecutive ports.
+// groupSettings is a group of equal endpoints on consecutive ports.
 type groupSettings struct {
 	Service    string        `toml:"service"`
 	Zone       string        `toml:"zone"`
-	First      string        `toml:"first"` // IP number and port of the first endpoint.
+	First      string        `toml:"first"` // IP address and port of the first endpoint.
 	Count      int           `toml:"count"`
 	Slots      int           `toml:"slots"`
 	Queue      int           `toml:"queue"`
@@ -59,16 +59,16 @@
 	var file string
 	c := &cobra.Command{
 		Use:   "upstream",
-		Short: "Run stand-ins of upstream endpoints, with faults that can be switched",
+		Short: "Run stand-ins of upstream endpoints, with fault injection",
 		Long: `upstream runs many endpoints in one process and records how often each request started. Counts
-are told at ` + upstream.PathEndpoints + ` and ` + upstream.PathSummary + ` of the admin address; faults are switched
-at ` + upstream.PathFaults + `, and an endpoint drains at ` + upstream.PathLeave + `.`,
+are read at ` + upstream.PathEndpoints + ` and ` + upstream.PathSummary + ` of the admin address; faults are set
+at ` + upstream.PathFaults + `, and a POST to ` + upstream.PathLeave + ` drains an endpoint.`,
 		Example: "  damaskctl standin upstream --settings upstreams.toml\n" +
 			"  curl -X PUT -d '{\"slow_factor\":10}' 'http://127.0.0.1:7071" + upstream.PathFaults + "?endpoint=127.0.0.1:9001'",
 		Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if file == "" {
-				return usageError(fmt.Errorf("--settings must be given"))
+				return usageError(fmt.Errorf("--settings is required"))
 			}
 			s, err := readHostSettings(file)
 			if err != nil {
@@ -89,7 +89,7 @@
 			validateLoopback(c, "platform", s.Platform)
 		}
 		if len(s.Groups) == 0 {
-			c.Add("groups", "", "must hold at least one group")
+			c.Add("groups", "", "must contain at least one group")
 		}
 		for i, g := range s.Groups {
 			g.check(c, fmt.Sprintf("groups[%d]", i))
@@ -102,10 +102,10 @@
 	validateNotEmpty(c, key+".service", g.Service)
 	validateLoopback(c, key+".first", g.First)
 	if g.Count < 1 || g.Count > maxGroupEndpoints {
-		c.Add(key+".count", fmt.Sprint(g.Count), "is outside 1 to %d", maxGroupEndpoints)
+		c.Add(key+".count", fmt.Sprint(g.Count), "must be from 1 to %d", maxGroupEndpoints)
 	}
-	if first, err := netip.ParseAddrPort(g.First); err == nil && int(first.Port())+g.Count > highestPort+1 {
-		c.Add(key+".count", fmt.Sprint(g.Count), "leads to ports over %d", highestPort)
+	if first, err := netip.ParseAddrPort(g.First); err == nil && int(first.Port())+g.Count > maxPort+1 {
+		c.Add(key+".count", fmt.Sprint(g.Count), "gives ports greater than %d", maxPort)
 	}
 	if g.Slots < 0 {
 		c.Add(key+".slots", fmt.Sprint(g.Slots), "must not be negative")
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// publish tells the platform's stand-in the endpoints after each change, and again while it fails.
+// publish publishes the endpoints to the platform stand-in after each change, and retries until it succeeds.
 func publish(ctx context.Context, w io.Writer, host *upstream.Host, platform string, changed <-chan struct{}) {
 	retry := time.NewTicker(publishInterval)
 	defer retry.Stop()
--- a/cmd/damaskctl/status.go
+++ b/cmd/damaskctl/status.go
@@ -13,7 +13,7 @@
 	"github.com/damaskcove/damaskcove/internal/operator/api"
 )
 
-// jsonReport is the value of --report that asks for JSON.
+// jsonReport is the value of --report for JSON output.
 const jsonReport = "json"
 
 func newStatus() *cobra.Command {
@@ -21,8 +21,8 @@
 	var format string
 	c := &cobra.Command{
 		Use:     "status",
-		Short:   "Show how instances see the fleet, its services and their endpoints",
-		Long:    "status asks the operator endpoints of instances and prints what each sees. It goes on when one does not answer.",
+		Short:   "Show instances' views of the fleet, its services and their endpoints",
+		Long:    "status queries the operator endpoints of instances and prints each one's view. It reports instances that do not respond and continues.",
 		Example: "  damaskctl status --operator 192.0.2.11:8082 --token-file token\n  damaskctl status --operator 192.0.2.11:8082 --report json",
 		Args:    exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/damaskctl/store.go
+++ b/cmd/damaskctl/store.go
@@ -21,7 +21,7 @@
 	clientName     = "damaskctl"
 )
 
-// storeFlags say how to reach the platform.
+// storeFlags are the flags of commands that access the platform's store.
 type storeFlags struct {
 	platform string
 	timeout  time.Duration
@@ -29,22 +29,22 @@
 
 func (f *storeFlags) add(c *cobra.Command) {
 	c.Flags().StringVar(&f.platform, "platform", "", "IP address and port of the platform's store (required)")
-	c.Flags().DurationVar(&f.timeout, "timeout", defaultTimeout, "time to go on trying")
+	c.Flags().DurationVar(&f.timeout, "timeout", defaultTimeout, "time after which to stop retrying")
 }
 
-// open returns a client of the store and a context that ends with the timeout.
+// open returns a client of the store, and a context that ends after the timeout.
 func (f *storeFlags) open(ctx context.Context) (*client.Client, context.Context, context.CancelFunc, error) {
 	if _, err := netip.ParseAddrPort(f.platform); err != nil {
 		return nil, nil, nil, usageError(fmt.Errorf("--platform %q is not an IP address and port", f.platform))
 	}
 	if f.timeout <= 0 {
-		return nil, nil, nil, usageError(fmt.Errorf("--timeout %v must be over 0", f.timeout))
+		return nil, nil, nil, usageError(fmt.Errorf("--timeout %v must be greater than 0", f.timeout))
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	return client.New(f.platform, clientName), ctx, cancel, nil
 }
 
-// operatorFlags say how to reach instances' operator endpoints.
+// operatorFlags are the flags of commands that query instances' operator endpoints.
 type operatorFlags struct {
 	addresses []string
 	tokenFile string
@@ -58,7 +58,7 @@
 // open returns a client for each address.
 func (f *operatorFlags) open() ([]*query.Client, error) {
 	if len(f.addresses) == 0 {
-		return nil, usageError(fmt.Errorf("give at least one --operator"))
+		return nil, usageError(fmt.Errorf("at least one --operator is required"))
 	}
 	token := os.Getenv(tokenVariable)
 	if f.tokenFile != "" {
--- a/cmd/damaskgate/main.go
+++ b/cmd/damaskgate/main.go
@@ -24,8 +24,8 @@
 	exitAddress  = 3
 )
 
-// gcPercent lets the heap grow by a quarter before it is collected: an instance holds little,
-// and its memory is dearer than its processor time.
+// gcPercent lets the heap grow by only a quarter between collections: an instance's heap is
+// small, and memory costs more than the processor time of the collector.
 const gcPercent = 25
 
 func main() {
@@ -36,9 +36,9 @@
 }
 
 func exitStatus(err error) int {
-	var settings *tomlfile.ValidationError
+	var invalid *tomlfile.ValidationError
 	switch {
-	case errors.As(err, &settings):
+	case errors.As(err, &invalid):
 		return exitSettings
 	case errors.Is(err, syscall.EADDRINUSE):
 		return exitAddress
@@ -52,7 +52,7 @@
 	run := &cobra.Command{
 		Use:          "damaskgate",
 		Short:        "Run one entry instance of the fleet",
-		Long:         "damaskgate runs one entry instance. It serves until it gets SIGTERM or SIGINT, and\nthen makes a planned stop, which cuts off no request in flight. SIGHUP reloads the settings.",
+		Long:         "damaskgate runs one entry instance. It serves until it receives SIGTERM or SIGINT, and\nthen makes a planned stop, which completes the requests in flight. SIGHUP reloads the settings.",
 		Example:      "  damaskgate --settings /etc/damaskgate.toml\n  damaskgate check --settings damaskgate.toml",
 		Args:         cobra.NoArgs,
 		SilenceUsage: true,
@@ -61,14 +61,14 @@
 	run.PersistentFlags().StringVar(&path, "settings", "damaskgate.toml", "settings file")
 	run.AddCommand(&cobra.Command{
 		Use:     "check",
-		Short:   "Check the settings file and list every fault",
+		Short:   "Check the settings file and list every error",
 		Example: "  damaskgate check --settings damaskgate.toml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if _, err := gateway.LoadSettings(path); err != nil {
 				return fmt.Errorf("code %d: %w", result.CodeSettingsFault, err)
 			}
-			_, err := fmt.Fprintf(c.OutOrStdout(), "%s: no fault\n", path)
+			_, err := fmt.Fprintf(c.OutOrStdout(), "%s: settings are valid\n", path)
 			return err
 		},
 	})
