--- a/client/client.go
+++ b/client/client.go
@@ -23,20 +23,20 @@
 
 // Errors of a Client.
 var (
-	// ErrNoEntry says that no entry answered discovery.
+	// ErrNoEntry means that no entry answered discovery.
 	ErrNoEntry = errors.New("no entry answered discovery")
-	// ErrNoAnswer says that no whole answer came back. NoAnswerError holds what may be concluded.
-	ErrNoAnswer = errors.New("no whole answer")
+	// ErrNoAnswer means that no complete answer was received. It is wrapped by NoAnswerError.
+	ErrNoAnswer = errors.New("no complete answer")
 )
 
-// NoAnswerError says that no whole answer came back, and whether the request may have run.
+// NoAnswerError means that no complete answer was received. It says whether the request may have run.
 type NoAnswerError struct {
 	Execution string // ExecutionNotRun or ExecutionUnknown.
-	Key       string // The request's idempotency key, with which Client.Outcome may be asked; empty without one.
+	Key       string // The request's idempotency key, for Client.Outcome; empty without one.
 	Cause     error
 }
 
-// Error describes the last attempt.
+// Error returns the execution and the error of the last attempt.
 func (e *NoAnswerError) Error() string {
 	return fmt.Sprintf("%v (%s): %v", ErrNoAnswer, e.Execution, e.Cause)
 }
@@ -48,13 +48,13 @@
 
 // Options are the parameters of a Client.
 type Options struct {
-	Entries  []string         // Some entries of the fleet, as IP number and port, to ask first.
+	Entries  []string         // Some entries of the fleet, each an IP address and port, for the first discovery.
 	Account  fleet.Account    // The client account.
 	Zone     fleet.Zone       // Nearest availability zone; may be empty.
-	Attempts int              // Entries tried for one request; 0 for DefaultAttempts.
-	HTTP     *http.Client     // Shared between clients; nil for one of its own. It must not follow redirects.
+	Attempts int              // Maximum number of attempts of one request; 0 for DefaultAttempts.
+	HTTP     *http.Client     // May be shared between clients; nil for a new one. It must not follow redirects.
 	Now      func() time.Time // Nil for time.Now.
-	Random   *rand.Rand       // For the unique parts of keys and the choice among entries; nil for a seed of the system.
+	Random   *rand.Rand       // For the unique parts of keys and the order of Entries; nil for a random seed.
 }
 
 // Client sends requests of one client account to the fleet. It is safe for concurrent use.
@@ -74,11 +74,11 @@
 // New returns a client.
 func New(o Options) (*Client, error) {
 	if len(o.Entries) == 0 {
-		return nil, fmt.Errorf("client of account %q has no entry to ask", o.Account)
+		return nil, fmt.Errorf("client of account %q has no entries for discovery", o.Account)
 	}
 	for _, entry := range o.Entries {
 		if _, err := netip.ParseAddrPort(entry); err != nil {
-			return nil, fmt.Errorf("entry %q is no IP number and port: %w", entry, err)
+			return nil, fmt.Errorf("entry %q is not an IP address and port: %w", entry, err)
 		}
 	}
 	if o.Attempts <= 0 {
@@ -105,7 +105,7 @@
 	}, nil
 }
 
-// NewHTTP returns an HTTP client that suits Options.HTTP.
+// NewHTTP returns an HTTP client for Options.HTTP.
 func NewHTTP() *http.Client {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &http.Client{
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -20,7 +20,7 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-// behaviour is how a fake entry treats one request.
+// behaviour is how a fake entry handles one request.
 type behaviour int
 
 const (
@@ -28,7 +28,7 @@
 	answersStopping
 	answersRelayFailed
 	answersIncarnation
-	answersAttemptNotRun // Refuses the attempt; says nothing of the key.
+	answersAttemptNotRun // Rejects the attempt, which says nothing about the key.
 	answersShed
 	runsAndTruncates
 	runsAndCloses
@@ -36,10 +36,10 @@
 	behaviours
 )
 
-// fakeFleet is two entries that share a record of what ran.
+// fakeFleet is two entries that share a record of the requests that ran.
 type fakeFleet struct {
 	mu          sync.Mutex
-	plan        []behaviour // For the next requests, in order; then answersRan.
+	plan        []behaviour // Of the next requests, in order; answersRan after that.
 	runs        int
 	ranKeys     map[string]bool
 	keys        []string
@@ -62,7 +62,7 @@
 	}
 }
 
-// fleetRecord is what a fake fleet saw.
+// fleetRecord is what a fake fleet received and ran.
 type fleetRecord struct {
 	runs, discoveries int
 	keys              []string
@@ -108,7 +108,7 @@
 	_ = json.NewEncoder(w).Encode(d)
 }
 
-// run runs a request, unless its key has run before.
+// run records an execution, unless the key has run before.
 func (f *fakeFleet) run(key string) {
 	if key != "" && f.ranKeys[key] {
 		return
@@ -168,8 +168,10 @@
 	return c
 }
 
-// TestPromises draws requests and entries that fail, and compares what Do says with what ran.
-func TestPromises(t *testing.T) {
+// TestGuarantees draws requests and failures of entries, and compares the result of Do with what
+// ran. It guards against requests that run twice, incomplete answers, and a reported execution
+// that contradicts what ran.
+func TestGuarantees(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFakeFleet(rt)
 		c := newTestClient(rt, f)
@@ -192,16 +194,16 @@
 			rt.Fatalf("ran %d times, keys %v", f.record().runs, f.record().keys)
 		}
 		if execution == ExecutionNotRun && f.record().runs > 0 {
-			rt.Fatalf("told not run, ran %d times, keys %v", f.record().runs, f.record().keys)
+			rt.Fatalf("reported not run, ran %d times, keys %v", f.record().runs, f.record().keys)
 		}
 		if execution == ExecutionRan && f.record().runs == 0 {
-			rt.Fatal("told ran, ran never")
+			rt.Fatal("reported ran, never ran")
 		}
 		if execution == ExecutionRan && string(answer.Body) != "whole" {
-			rt.Fatalf("half an answer: %q", answer.Body)
+			rt.Fatalf("incomplete answer: %q", answer.Body)
 		}
 		if execution == "" {
-			rt.Fatalf("told nothing: %+v %v", answer, err)
+			rt.Fatalf("no execution reported: %+v %v", answer, err)
 		}
 	})
 }
@@ -215,7 +217,7 @@
 	}
 }
 
-func TestRefusedTicketGetsANewKey(t *testing.T) {
+func TestRejectedTicketGetsANewKey(t *testing.T) {
 	f := newFakeFleet(t)
 	f.plan = []behaviour{answersIncarnation}
 	answer, err := newTestClient(t, f).Do(context.Background(), Request{Service: "s", Method: http.MethodPost, URI: "/o"})
@@ -234,7 +236,7 @@
 	}
 }
 
-func TestDiscoveryIsKeptForItsMaxAge(t *testing.T) {
+func TestDiscoveryIsCachedForItsMaxAge(t *testing.T) {
 	f := newFakeFleet(t)
 	now := time.Unix(0, 0)
 	c, err := New(Options{Entries: f.addresses(), Account: "a", Now: func() time.Time { return now }})
@@ -252,7 +254,7 @@
 	}
 }
 
-func TestDiscoveryGoesOnToAnotherEntry(t *testing.T) {
+func TestDiscoveryTriesAnotherEntry(t *testing.T) {
 	f := newFakeFleet(t)
 	f.servers[0].Close()
 	c := newTestClient(t, f)
@@ -271,15 +273,15 @@
 	}
 }
 
-func TestBadDiscoveryAnswers(t *testing.T) {
+func TestInvalidDiscoveryResponses(t *testing.T) {
 	for _, text := range []string{"", "{", "{}", `{"entries":[{"address":"localhost:80"}]}`, `{"entries":[]}`} {
 		if _, err := parseDiscovery("192.0.2.1:80", []byte(text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 	for _, entries := range [][]string{nil, {"localhost:80"}} {
 		if _, err := New(Options{Entries: entries}); err == nil {
-			t.Errorf("entries %v were taken", entries)
+			t.Errorf("entries %v were accepted", entries)
 		}
 	}
 }
@@ -289,7 +291,7 @@
 	f.Add([]byte(`{"entries":null}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if d, err := parseDiscovery("192.0.2.1:80", data); err == nil && len(d.Entries) == 0 {
-			t.Fatalf("taken without an entry: %q", data)
+			t.Fatalf("accepted without an entry: %q", data)
 		}
 	})
 }
--- a/client/discover.go
+++ b/client/discover.go
@@ -15,17 +15,17 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// maxDiscoveryBytes bounds a discovery answer.
+// maxDiscoveryBytes bounds a discovery response.
 const maxDiscoveryBytes = 64 << 10
 
-// cacheEntry is the last discovery answer of a service.
+// cacheEntry is the last discovery response for a service.
 type cacheEntry struct {
-	mu        sync.Mutex // Held while the service is being discovered.
+	mu        sync.Mutex // Locked during discovery, so that concurrent requests share one.
 	discovery Discovery
 	until     time.Time
 }
 
-// Discover returns the entries to use for a service, from the last answer while it may be used.
+// Discover returns the entries to use for a service. It returns the cached response until its max age.
 func (c *Client) Discover(ctx context.Context, service fleet.Service) (Discovery, error) {
 	entry := c.cacheEntryFor(service)
 	entry.mu.Lock()
@@ -42,7 +42,7 @@
 	return discovery, nil
 }
 
-// invalidate makes the next Discover ask again, unless another answer has come since.
+// invalidate expires the cached response, unless it has been replaced since the one with this ticket.
 func (c *Client) invalidate(service fleet.Service, ticket string) {
 	entry := c.cacheEntryFor(service)
 	entry.mu.Lock()
@@ -63,7 +63,7 @@
 	return entry
 }
 
-// requestDiscovery asks the entries of the last answer, then those of the options, until one answers.
+// requestDiscovery tries the entries of the last response, then those of the options, until one succeeds.
 func (c *Client) requestDiscovery(ctx context.Context, service fleet.Service, last Discovery) (Discovery, error) {
 	var addresses []string
 	for _, e := range last.Entries {
@@ -119,14 +119,14 @@
 func parseDiscovery(address string, data []byte) (Discovery, error) {
 	var d Discovery
 	if err := json.Unmarshal(data, &d); err != nil {
-		return Discovery{}, fmt.Errorf("discover at %s: %d bytes: %w", address, len(data), err)
+		return Discovery{}, fmt.Errorf("discover at %s: decode response of %d bytes: %w", address, len(data), err)
 	}
 	if len(d.Entries) == 0 {
-		return Discovery{}, fmt.Errorf("discover at %s: the answer names no entry", address)
+		return Discovery{}, fmt.Errorf("discover at %s: the response contains no entry", address)
 	}
 	for _, entry := range d.Entries {
 		if _, err := netip.ParseAddrPort(entry.Address); err != nil {
-			return Discovery{}, fmt.Errorf("discover at %s: entry %q is no IP number and port", address, entry.Address)
+			return Discovery{}, fmt.Errorf("discover at %s: entry %q is not an IP address and port", address, entry.Address)
 		}
 	}
 	return d, nil
--- a/client/doc.go
+++ b/client/doc.go
@@ -1,13 +1,12 @@
-// Package client is the small package that callers of the fleet embed.
+// Package client is the client library for callers of the fleet.
 //
-// A Client asks the fleet which entries to use for a service, keeps the answer for
-// the time that the fleet allows, and connects to those entries itself. It
-// guarantees:
+// A Client discovers the entries to use for a service, caches them for the time that the
+// fleet allows, and connects to those entries itself. It guarantees:
 //
-//   - a request that may be repeated is retried at another entry within its context;
+//   - an idempotent request is retried at other entries, within its context;
 //   - a keyed request is retried with the same Idempotency-Key, so that the fleet runs it at most once;
 //   - a request that is neither is sent once;
-//   - an answer is returned only when it is whole.
+//   - an answer is returned only if it is complete.
 //
-// Do returns an error, never an answer, when nothing whole came back.
+// If no complete answer was received, Do returns an error and no answer.
 package client
--- a/client/request.go
+++ b/client/request.go
@@ -18,18 +18,18 @@
 	URI        string      // Path and query.
 	Header     http.Header // May be nil; not changed.
 	Body       []byte
-	Idempotent bool   // It may be repeated. Else it is sent with an idempotency key, unless Unkeyed.
-	Unkeyed    bool   // A request that is not idempotent goes without a key, and is sent once.
+	Idempotent bool   // May be retried without a key. Otherwise it is sent with an idempotency key, unless Unkeyed.
+	Unkeyed    bool   // A request that is not Idempotent is sent without a key, and only once.
 	Key        string // From Client.NewKey; empty for a new one.
 }
 
-// Answer is one whole answer.
+// Answer is one complete answer.
 type Answer struct {
 	Status    int
 	Header    http.Header
 	Body      []byte
 	Code      result.Code
-	Execution string // ExecutionRan, ExecutionNotRun or ExecutionUnknown: of the request, over all attempts.
+	Execution string // ExecutionRan, ExecutionNotRun or ExecutionUnknown, considering all attempts of the request.
 	Key       string // The idempotency key that was used; empty without one.
 	Entry     string // Address of the entry that answered.
 	Attempts  int
@@ -53,26 +53,26 @@
 	return d.Ticket + KeySeparator + hex.EncodeToString(unique[:])
 }
 
-// Do sends a request and returns its whole answer, at another entry when one fails. An
-// error is a *NoAnswerError, or wraps ErrNoEntry when nothing was sent. The body of the answer is the
-// caller's own.
+// Do sends a request, retries it at other entries where that is safe, and returns a complete
+// answer. The error is a *NoAnswerError, or wraps ErrNoEntry if nothing was sent. The caller owns
+// the body of the answer.
 func (c *Client) Do(ctx context.Context, r Request) (Answer, error) {
-	t := &retrier{client: c, request: r, key: r.Key}
-	for t.attempts < c.attempts {
-		answer, done, err := t.next(ctx)
+	rt := &retrier{client: c, request: r, key: r.Key}
+	for rt.attempts < c.attempts {
+		answer, done, err := rt.next(ctx)
 		if done {
 			return answer, err
 		}
 	}
-	return t.result()
+	return rt.result()
 }
 
-// retrier is one request over its attempts.
+// retrier sends one request in one or more attempts.
 type retrier struct {
 	client       *Client
 	request      Request
 	key          string
-	sendsWithKey int  // Attempts that may have left with the present key.
+	sendsWithKey int  // Attempts with the current key of which bytes may have been sent.
 	mayHaveRun   bool // An attempt without a key may have run.
 	attempts     int
 	tried        map[string]bool
@@ -81,122 +81,122 @@
 	err          error
 }
 
-// next makes one attempt. done says that its result is the request's.
-func (t *retrier) next(ctx context.Context) (answer Answer, done bool, err error) {
-	discovery, err := t.client.Discover(ctx, t.request.Service)
+// next makes one attempt. done means that the results are final.
+func (rt *retrier) next(ctx context.Context) (answer Answer, done bool, err error) {
+	discovery, err := rt.client.Discover(ctx, rt.request.Service)
 	if err != nil {
-		if t.attempts == 0 {
+		if rt.attempts == 0 {
 			return Answer{}, true, err
 		}
-		t.recordError(err)
-		answer, err = t.result()
+		rt.recordError(err)
+		answer, err = rt.result()
 		return answer, true, err
 	}
-	t.prepareKey(discovery)
-	entry := t.choose(discovery)
-	t.attempts++
-	answer, sent, err := t.client.sendOnce(ctx, entry, t.request, t.key)
+	rt.prepareKey(discovery)
+	entry := rt.choose(discovery)
+	rt.attempts++
+	answer, sent, err := rt.client.sendOnce(ctx, entry, rt.request, rt.key)
 	if sent {
-		t.sendsWithKey++
+		rt.sendsWithKey++
 	}
 	if err != nil {
-		t.recordError(err)
-		t.client.invalidate(t.request.Service, discovery.Ticket)
-		if sent && !t.repeatable() {
-			t.mayHaveRun = true
-			answer, err = t.result()
+		rt.recordError(err)
+		rt.client.invalidate(rt.request.Service, discovery.Ticket)
+		if sent && !rt.repeatable() {
+			rt.mayHaveRun = true
+			answer, err = rt.result()
 			return answer, true, err
 		}
-		t.mayHaveRun = t.mayHaveRun || (sent && t.key == "")
+		rt.mayHaveRun = rt.mayHaveRun || (sent && rt.key == "")
 		return Answer{}, false, nil
 	}
-	return t.handleAnswer(answer, discovery)
+	return rt.handleAnswer(answer, discovery)
 }
 
-// handleAnswer decides whether an answer is the request's.
-func (t *retrier) handleAnswer(answer Answer, discovery Discovery) (Answer, bool, error) {
-	answer.Attempts = t.attempts
-	t.answer, t.answered = answer, true
-	if !t.shouldTryAnotherEntry(answer.Code) {
-		return t.finalAnswer(), true, nil
+// handleAnswer returns an answer as final, or decides to try another entry.
+func (rt *retrier) handleAnswer(answer Answer, discovery Discovery) (Answer, bool, error) {
+	answer.Attempts = rt.attempts
+	rt.answer, rt.answered = answer, true
+	if !rt.shouldTryAnotherEntry(answer.Code) {
+		return rt.finalAnswer(), true, nil
 	}
-	t.client.invalidate(t.request.Service, discovery.Ticket)
+	rt.client.invalidate(rt.request.Service, discovery.Ticket)
 	return Answer{}, false, nil
 }
 
-// shouldTryAnotherEntry reports whether an answer is of one entry only, so that another may do better.
-func (t *retrier) shouldTryAnotherEntry(code result.Code) bool {
+// shouldTryAnotherEntry reports whether a code is specific to the entry or the key, so that another attempt may succeed.
+func (rt *retrier) shouldTryAnotherEntry(code result.Code) bool {
 	switch code {
 	case result.CodeStopping, result.CodeNotReady:
 		return true
 	case result.CodeTicketIncarnation, result.CodeTicketExpired, result.CodeAttemptNotRun, result.CodeClaimTableFull:
-		return t.renewKey()
+		return rt.renewKey()
 	case result.CodeRelayFailed:
-		t.mayHaveRun = t.mayHaveRun || t.key == ""
-		return t.repeatable()
+		rt.mayHaveRun = rt.mayHaveRun || rt.key == ""
+		return rt.repeatable()
 	default:
 		return false
 	}
 }
 
-// repeatable reports whether the request may be sent again after it may have run.
-func (t *retrier) repeatable() bool {
-	return t.request.Idempotent || t.key != ""
+// repeatable reports whether the request may be sent again after an attempt that may have run.
+func (rt *retrier) repeatable() bool {
+	return rt.request.Idempotent || rt.key != ""
 }
 
-// prepareKey makes the key of a request that needs one.
-func (t *retrier) prepareKey(d Discovery) {
-	if t.key != "" || t.request.Idempotent || t.request.Unkeyed {
+// prepareKey creates the key of a request that needs one.
+func (rt *retrier) prepareKey(d Discovery) {
+	if rt.key != "" || rt.request.Idempotent || rt.request.Unkeyed {
 		return
 	}
-	t.key = t.client.keyFor(d)
-	t.sendsWithKey = 0
+	rt.key = rt.client.keyFor(d)
+	rt.sendsWithKey = 0
 }
 
-// renewKey drops the key, so that the next attempt makes a new one, and reports whether it
-// could: the key is this package's own, and the attempt that was refused was its only one.
-func (t *retrier) renewKey() bool {
-	if t.request.Key != "" || t.sendsWithKey > 1 {
+// renewKey drops the key, so that the next attempt gets a new one. It returns false, and keeps the
+// key, if the key came from the caller or was sent in more than one attempt: an earlier attempt may have run.
+func (rt *retrier) renewKey() bool {
+	if rt.request.Key != "" || rt.sendsWithKey > 1 {
 		return false
 	}
-	t.key = ""
+	rt.key = ""
 	return true
 }
 
-// choose returns the best entry that was not tried yet, else the best.
-func (t *retrier) choose(d Discovery) string {
-	if t.tried == nil {
-		t.tried = make(map[string]bool)
+// choose returns the best entry that was not tried yet. When all were tried, it rotates through them.
+func (rt *retrier) choose(d Discovery) string {
+	if rt.tried == nil {
+		rt.tried = make(map[string]bool)
 	}
 	for _, entry := range d.Entries {
-		if !t.tried[entry.Address] {
-			t.tried[entry.Address] = true
+		if !rt.tried[entry.Address] {
+			rt.tried[entry.Address] = true
 			return entry.Address
 		}
 	}
-	return d.Entries[t.attempts%len(d.Entries)].Address
+	return d.Entries[rt.attempts%len(d.Entries)].Address
 }
 
-func (t *retrier) recordError(err error) {
-	t.err = err
-	t.answered = false
+func (rt *retrier) recordError(err error) {
+	rt.err = err
+	rt.answered = false
 }
 
-// finalAnswer returns the last answer, with what it says of the whole request: that one attempt did
-// not run says nothing of an earlier one, unless the answer speaks of the key.
-func (t *retrier) finalAnswer() Answer {
-	earlier := t.mayHaveRun || t.sendsWithKey > 1
-	if t.answer.Execution == ExecutionNotRun && earlier && !(t.key != "" && appliesToKey(t.answer.Code)) {
-		t.answer.Execution = ExecutionUnknown
+// finalAnswer returns the last answer with the execution of the whole request. "Not run" of the
+// last attempt says nothing about earlier attempts, unless its code applies to the key.
+func (rt *retrier) finalAnswer() Answer {
+	earlier := rt.mayHaveRun || rt.sendsWithKey > 1
+	if rt.answer.Execution == ExecutionNotRun && earlier && !(rt.key != "" && appliesToKey(rt.answer.Code)) {
+		rt.answer.Execution = ExecutionUnknown
 	}
-	if t.answer.Execution == ExecutionUnknown && !earlier && t.request.Key == "" && rejectsAttempt(t.answer.Code) {
-		t.answer.Execution = ExecutionNotRun
+	if rt.answer.Execution == ExecutionUnknown && !earlier && rt.request.Key == "" && rejectsAttempt(rt.answer.Code) {
+		rt.answer.Execution = ExecutionNotRun
 	}
-	return t.answer
+	return rt.answer
 }
 
-// rejectsAttempt reports whether a code says that the attempt that it answers did not run and
-// never will. When that was the key's only attempt, the request did not run.
+// rejectsAttempt reports whether a code means that the attempt did not run and never will. If it
+// was the only attempt with its key, the request did not run.
 func rejectsAttempt(code result.Code) bool {
 	switch code {
 	case result.CodeNoRoute, result.CodeUnknownAccount, result.CodeAccountNotAllowed, result.CodeBodyTooLarge, result.CodeMalformedRequest,
@@ -208,7 +208,7 @@
 	}
 }
 
-// appliesToKey reports whether a code that says "not run" was given after the key was sealed.
+// appliesToKey reports whether a "not run" code is sent only after the key was sealed, so that it covers all attempts with the key.
 func appliesToKey(code result.Code) bool {
 	switch code {
 	case result.CodeKeySealed, result.CodeShedQueueFull, result.CodeShedDeadline, result.CodeUpstreamRefused, result.CodeNotSent:
@@ -218,17 +218,17 @@
 	}
 }
 
-// result returns what is known after the result attempt.
-func (t *retrier) result() (Answer, error) {
-	if t.answered {
-		return t.finalAnswer(), nil
+// result returns the result of the request after its last attempt.
+func (rt *retrier) result() (Answer, error) {
+	if rt.answered {
+		return rt.finalAnswer(), nil
 	}
 	execution := ExecutionNotRun
-	if t.mayHaveRun || (t.key != "" && t.sendsWithKey > 0) {
+	if rt.mayHaveRun || (rt.key != "" && rt.sendsWithKey > 0) {
 		execution = ExecutionUnknown
 	}
-	if t.err == nil {
-		t.err = errors.New("no attempt was made")
+	if rt.err == nil {
+		rt.err = errors.New("no attempt was made")
 	}
-	return Answer{}, &NoAnswerError{Execution: execution, Key: t.key, Cause: t.err}
+	return Answer{}, &NoAnswerError{Execution: execution, Key: rt.key, Cause: rt.err}
 }
--- a/client/send.go
+++ b/client/send.go
@@ -15,11 +15,11 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-// lowerCaseHeaderKey is HeaderKey in lower case. net/http repeats requests by itself when
-// it sees the usual spelling; this package counts its attempts and repeats them itself.
+// lowerCaseHeaderKey is HeaderKey in lower case. net/http retries requests on its own if the header
+// map contains the canonical spelling, but this package must count attempts and retry by itself.
 const lowerCaseHeaderKey = "idempotency-key"
 
-// sendOnce makes one attempt. sent reports whether bytes of the request may have left.
+// sendOnce makes one attempt. sent reports whether any bytes of the request may have been sent.
 func (c *Client) sendOnce(ctx context.Context, entry string, r Request, key string) (answer Answer, sent bool, err error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -35,9 +35,9 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{}, true, fmt.Errorf("answer of entry %s after %d bytes: %w", entry, len(body), err)
+		return Answer{}, true, fmt.Errorf("read answer of entry %s, failed after %d bytes: %w", entry, len(body), err)
 	}
-	return wholeAnswer(response, body, entry, key), true, nil
+	return newAnswer(response, body, entry, key), true, nil
 }
 
 func (c *Client) headers(ctx context.Context, r Request, key string) http.Header {
@@ -53,14 +53,15 @@
 		header[lowerCaseHeaderKey] = []string{key}
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		left := max(time.Until(deadline).Milliseconds(), 1)
-		header.Set(HeaderDeadline, strconv.FormatInt(left, 10))
+		timeLeft := max(time.Until(deadline).Milliseconds(), 1)
+		header.Set(HeaderDeadline, strconv.FormatInt(timeLeft, 10))
 	}
 	return header
 }
 
-// wholeAnswer takes an answer without the fleet's headers, as of a server that is no entry, for unknown.
-func wholeAnswer(response *http.Response, body []byte, entry, key string) Answer {
+// newAnswer returns a complete answer. Its execution is unknown if the fleet's headers are
+// missing, as in the response of a server that is not an entry.
+func newAnswer(response *http.Response, body []byte, entry, key string) Answer {
 	code, _ := strconv.ParseUint(response.Header.Get(HeaderCode), 10, 16)
 	execution := response.Header.Get(HeaderExecution)
 	if execution != ExecutionRan && execution != ExecutionNotRun {
@@ -77,7 +78,7 @@
 	}
 }
 
-// Outcome asks what came of a key, at each entry of the service until one knows.
+// Outcome requests the outcome of a key from the entries of the service in turn, until one returns a definite outcome.
 func (c *Client) Outcome(ctx context.Context, service fleet.Service, key string) (Answer, error) {
 	discovery, err := c.Discover(ctx, service)
 	if err != nil {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -103,7 +103,7 @@
 		Evaluator:  s.Judge,
 		FloorSlots: s.FloorSlots,
 		ReadySlots: s.ReadySlots,
-		Budget:     api.Budget{Total: max(0, s.ReadySlots-s.FloorSlots), Held: s.BudgetSlots, ReachableCarriers: s.HeardCarriers, Carriers: s.Carriers},
+		Budget:     api.Budget{Total: max(0, s.ReadySlots-s.FloorSlots), Available: s.BudgetSlots, ReachableCarriers: s.HeardCarriers, Carriers: s.Carriers},
 	}
 	for _, in := range n.carriers(s.Service) {
 		out.Carriers = append(out.Carriers, in.Ref)
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -82,7 +82,7 @@
 // Budget is an evaluator's ejection budget, in slots.
 type Budget struct {
 	Total             int `json:"total"` // Ready slots minus the floor.
-	Held              int `json:"held"`  // What the evaluator may eject, given the number of reachable carriers.
+	Available         int `json:"held"`  // What the evaluator may eject, given the number of reachable carriers.
 	Used              int `json:"used"`
 	ReachableCarriers int `json:"heard"`    // Carriers that report to the evaluator.
 	Carriers          int `json:"carriers"` // Carriers on the roster.
