--- a/cmd/damaskctl/apply_test.go
+++ b/cmd/damaskctl/apply_test.go
@@ -72,14 +72,14 @@
 	return config
 }
 
-func (o commandResult) expect(t *testing.T, exit int, texts ...string) {
+func (r commandResult) expect(t *testing.T, exit int, texts ...string) {
 	t.Helper()
-	if o.exit != exit {
-		t.Fatalf("exit %d, want %d\n%s\n%s", o.exit, exit, o.stdout, o.stderr)
+	if r.exit != exit {
+		t.Fatalf("exit %d, want %d\n%s\n%s", r.exit, exit, r.stdout, r.stderr)
 	}
 	for _, text := range texts {
-		if !strings.Contains(o.stdout+o.stderr, text) {
-			t.Fatalf("%q is missing from\n%s\n%s", text, o.stdout, o.stderr)
+		if !strings.Contains(r.stdout+r.stderr, text) {
+			t.Fatalf("%q is missing from\n%s\n%s", text, r.stdout, r.stderr)
 		}
 	}
 }
--- a/cmd/damaskctl/fail.go
+++ b/cmd/damaskctl/errors.go
@@ -35,8 +35,8 @@
 	err  error
 }
 
-func (f *commandError) Error() string { return f.err.Error() }
-func (f *commandError) Unwrap() error { return f.err }
+func (e *commandError) Error() string { return e.err.Error() }
+func (e *commandError) Unwrap() error { return e.err }
 
 func usageError(err error) error {
 	return &commandError{exit: exitUsage, err: err}
@@ -52,23 +52,23 @@
 	if err == nil {
 		return exitDone
 	}
-	f := classify(err)
-	if entry, ok := result.Lookup(f.code); ok {
+	classified := classify(err)
+	if entry, ok := result.Lookup(classified.code); ok {
 		_, _ = fmt.Fprintf(w, "damaskctl: %d %s: %s\n%v\n", entry.Code, entry.Name, entry.Text, err)
-		return f.exit
+		return classified.exit
 	}
 	_, _ = fmt.Fprintf(w, "damaskctl: %v\n", err)
-	if f.exit == exitUsage {
+	if classified.exit == exitUsage {
 		_, _ = fmt.Fprintln(w, "Run \"damaskctl help\" for usage.")
 	}
-	return f.exit
+	return classified.exit
 }
 
 // classify returns an error with its exit code and result code.
 func classify(err error) *commandError {
-	var f *commandError
-	if errors.As(err, &f) {
-		return f
+	var classified *commandError
+	if errors.As(err, &classified) {
+		return classified
 	}
 	var invalid *tomlfile.ValidationError
 	switch {
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -84,7 +84,7 @@
 	Total             int `json:"total"` // Ready slots minus the floor.
 	Available         int `json:"held"`  // What the evaluator may eject, given the number of reachable carriers.
 	Used              int `json:"used"`
-	ReachableCarriers int `json:"heard"`    // Carriers that report to the evaluator.
+	ReachableCarriers int `json:"heard"`    // Carriers whose reports reach the evaluator.
 	Carriers          int `json:"carriers"` // Carriers on the roster.
 }
 
--- a/internal/operator/query/wait.go
+++ b/internal/operator/query/wait.go
@@ -41,7 +41,7 @@
 	Revision fleet.Revision
 	Live     int // Number of live instances.
 	Behind   []BehindInstance
-	Cause    error // Why the live instances could not be determined; nil if they were.
+	Cause    error // First error of requesting the live instances; nil if none.
 }
 
 // Error lists the instances that are behind.
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -50,7 +50,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathHealth, s.health)
 	mux.HandleFunc("GET "+api.PathStatus, s.requireToken(s.status))
-	mux.HandleFunc("GET "+api.PathActiveConfig, s.requireToken(s.inForce))
+	mux.HandleFunc("GET "+api.PathActiveConfig, s.requireToken(s.activeConfig))
 	mux.HandleFunc("GET "+api.PathExplain, s.requireToken(s.explain))
 	mux.HandleFunc("GET "+api.PathMetrics, s.requireToken(expvar.Handler().ServeHTTP))
 	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
@@ -110,7 +110,7 @@
 	writeJSON(w, s.source.Status())
 }
 
-func (s *Server) inForce(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) activeConfig(w http.ResponseWriter, _ *http.Request) {
 	status := s.source.Status()
 	writeJSON(w, api.ActiveConfig{Self: status.Self.Ref, Phase: status.Phase, Revision: status.Revision})
 }
