--- a/client/client_test.go
+++ b/client/client_test.go
@@ -20,7 +20,7 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-// behaviour is how a fake entry treats one request.
+// behaviour is how a fake entry handles one request.
 type behaviour int
 
 const (
@@ -28,18 +28,18 @@
 	answersStopping
 	answersRelayFailed
 	answersIncarnation
-	answersAttemptNotRun // Refuses the attempt; says nothing of the key.
+	answersAttemptNotRun // Rejects the attempt, which says nothing about the key.
 	answersShed
-	runsAndCutsOff
-	runsAndIsSilent
+	runsAndTruncates
+	runsAndCloses
 	closesBeforeRunning
 	behaviours
 )
 
-// fakeFleet is two entries that share a record of what ran.
+// fakeFleet is two entries that share a record of the requests that ran.
 type fakeFleet struct {
 	mu          sync.Mutex
-	plan        []behaviour // For the next requests, in order; then answersRan.
+	plan        []behaviour // Of the next requests, in order; answersRan after that.
 	runs        int
 	ranKeys     map[string]bool
 	keys        []string
@@ -62,16 +62,16 @@
 	}
 }
 
-// seen is what a fake fleet saw.
-type seen struct {
+// fleetRecord is what a fake fleet received and ran.
+type fleetRecord struct {
 	runs, discoveries int
 	keys              []string
 }
 
-func (f *fakeFleet) seen() seen {
+func (f *fakeFleet) record() fleetRecord {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return seen{runs: f.runs, discoveries: f.discoveries, keys: append([]string(nil), f.keys...)}
+	return fleetRecord{runs: f.runs, discoveries: f.discoveries, keys: append([]string(nil), f.keys...)}
 }
 
 func (f *fakeFleet) addresses() []string {
@@ -108,7 +108,7 @@
 	_ = json.NewEncoder(w).Encode(d)
 }
 
-// run runs a request, unless its key has run before.
+// run records an execution, unless the key has run before.
 func (f *fakeFleet) run(key string) {
 	if key != "" && f.ranKeys[key] {
 		return
@@ -125,27 +125,27 @@
 		w.Header().Set(HeaderExecution, ExecutionRan)
 		_, _ = io.WriteString(w, "whole")
 	case answersStopping:
-		refuse(w, result.CodeStopping)
+		writeRejection(w, result.CodeStopping)
 	case answersRelayFailed:
 		f.run(key)
-		refuse(w, result.CodeRelayFailed)
+		writeRejection(w, result.CodeRelayFailed)
 	case answersIncarnation:
-		refuse(w, result.CodeTicketIncarnation)
+		writeRejection(w, result.CodeTicketIncarnation)
 	case answersAttemptNotRun:
-		refuse(w, result.CodeAttemptNotRun)
+		writeRejection(w, result.CodeAttemptNotRun)
 	case answersShed:
 		if f.ranKeys[key] && key != "" {
-			refuse(w, result.CodeOutcomeUnknown)
+			writeRejection(w, result.CodeOutcomeUnknown)
 			return
 		}
-		refuse(w, result.CodeShedQueueFull)
-	case runsAndCutsOff:
+		writeRejection(w, result.CodeShedQueueFull)
+	case runsAndTruncates:
 		f.run(key)
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "half")
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case runsAndIsSilent:
+	case runsAndCloses:
 		f.run(key)
 		panic(http.ErrAbortHandler)
 	case closesBeforeRunning:
@@ -153,7 +153,7 @@
 	}
 }
 
-func refuse(w http.ResponseWriter, code result.Code) {
+func writeRejection(w http.ResponseWriter, code result.Code) {
 	entry, _ := result.Lookup(code)
 	w.Header().Set(HeaderCode, strconv.Itoa(int(code)))
 	w.Header().Set(HeaderExecution, entry.Execution.String())
@@ -168,8 +168,10 @@
 	return c
 }
 
-// TestPromises draws requests and entries that fail, and compares what Do says with what ran.
-func TestPromises(t *testing.T) {
+// TestGuarantees draws requests and failures of entries, and compares the result of Do with what
+// ran. It guards against requests that run twice, incomplete answers, and a reported execution
+// that contradicts what ran.
+func TestGuarantees(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFakeFleet(rt)
 		c := newTestClient(rt, f)
@@ -187,54 +189,54 @@
 		} else if err != nil {
 			rt.Fatal(err)
 		}
-		got := f.seen()
+		got := f.record()
 		if !r.Idempotent && got.runs > 1 {
-			rt.Fatalf("ran %d times, keys %v", f.seen().runs, f.seen().keys)
+			rt.Fatalf("ran %d times, keys %v", f.record().runs, f.record().keys)
 		}
-		if execution == ExecutionNotRun && f.seen().runs > 0 {
-			rt.Fatalf("told not run, ran %d times, keys %v", f.seen().runs, f.seen().keys)
+		if execution == ExecutionNotRun && f.record().runs > 0 {
+			rt.Fatalf("reported not run, ran %d times, keys %v", f.record().runs, f.record().keys)
 		}
-		if execution == ExecutionRan && f.seen().runs == 0 {
-			rt.Fatal("told ran, ran never")
+		if execution == ExecutionRan && f.record().runs == 0 {
+			rt.Fatal("reported ran, never ran")
 		}
 		if execution == ExecutionRan && string(answer.Body) != "whole" {
-			rt.Fatalf("half an answer: %q", answer.Body)
+			rt.Fatalf("incomplete answer: %q", answer.Body)
 		}
 		if execution == "" {
-			rt.Fatalf("told nothing: %+v %v", answer, err)
+			rt.Fatalf("no execution reported: %+v %v", answer, err)
 		}
 	})
 }
 
 func TestRetryKeepsTheKey(t *testing.T) {
 	f := newFakeFleet(t)
-	f.plan = []behaviour{runsAndIsSilent}
+	f.plan = []behaviour{runsAndCloses}
 	answer, err := newTestClient(t, f).Do(context.Background(), Request{Service: "s", Method: http.MethodPost, URI: "/o"})
-	if err != nil || answer.Attempts != 2 || len(f.seen().keys) != 2 || f.seen().keys[0] != f.seen().keys[1] || f.seen().runs != 1 {
-		t.Fatalf("%+v %v, keys %v, runs %d", answer, err, f.seen().keys, f.seen().runs)
+	if err != nil || answer.Attempts != 2 || len(f.record().keys) != 2 || f.record().keys[0] != f.record().keys[1] || f.record().runs != 1 {
+		t.Fatalf("%+v %v, keys %v, runs %d", answer, err, f.record().keys, f.record().runs)
 	}
 }
 
-func TestRefusedTicketGetsANewKey(t *testing.T) {
+func TestRejectedTicketGetsANewKey(t *testing.T) {
 	f := newFakeFleet(t)
 	f.plan = []behaviour{answersIncarnation}
 	answer, err := newTestClient(t, f).Do(context.Background(), Request{Service: "s", Method: http.MethodPost, URI: "/o"})
-	if err != nil || answer.Execution != ExecutionRan || f.seen().keys[0] == f.seen().keys[1] || f.seen().discoveries != 2 {
-		t.Fatalf("%+v %v, keys %v", answer, err, f.seen().keys)
+	if err != nil || answer.Execution != ExecutionRan || f.record().keys[0] == f.record().keys[1] || f.record().discoveries != 2 {
+		t.Fatalf("%+v %v, keys %v", answer, err, f.record().keys)
 	}
 }
 
 func TestUnkeyedOrderIsSentOnce(t *testing.T) {
 	f := newFakeFleet(t)
-	f.plan = []behaviour{runsAndIsSilent}
+	f.plan = []behaviour{runsAndCloses}
 	_, err := newTestClient(t, f).Do(context.Background(), Request{Service: "s", Method: http.MethodPost, URI: "/o", Unkeyed: true})
 	var none *NoAnswerError
-	if !errors.As(err, &none) || none.Execution != ExecutionUnknown || len(f.seen().keys) != 1 {
-		t.Fatalf("%v, %d sends", err, len(f.seen().keys))
+	if !errors.As(err, &none) || none.Execution != ExecutionUnknown || len(f.record().keys) != 1 {
+		t.Fatalf("%v, %d sends", err, len(f.record().keys))
 	}
 }
 
-func TestDiscoveryIsKeptForItsMaxAge(t *testing.T) {
+func TestDiscoveryIsCachedForItsMaxAge(t *testing.T) {
 	f := newFakeFleet(t)
 	now := time.Unix(0, 0)
 	c, err := New(Options{Entries: f.addresses(), Account: "a", Now: func() time.Time { return now }})
@@ -246,13 +248,13 @@
 		want  int
 	}{{0, 1}, {59 * time.Second, 1}, {time.Second, 2}} {
 		now = now.Add(step.after)
-		if _, err := c.Discover(context.Background(), "s"); err != nil || f.seen().discoveries != step.want {
-			t.Fatalf("after %v: %d discoveries, %v", step.after, f.seen().discoveries, err)
+		if _, err := c.Discover(context.Background(), "s"); err != nil || f.record().discoveries != step.want {
+			t.Fatalf("after %v: %d discoveries, %v", step.after, f.record().discoveries, err)
 		}
 	}
 }
 
-func TestDiscoveryGoesOnToAnotherEntry(t *testing.T) {
+func TestDiscoveryTriesAnotherEntry(t *testing.T) {
 	f := newFakeFleet(t)
 	f.servers[0].Close()
 	c := newTestClient(t, f)
@@ -271,15 +273,15 @@
 	}
 }
 
-func TestBadDiscoveryAnswers(t *testing.T) {
+func TestInvalidDiscoveryResponses(t *testing.T) {
 	for _, text := range []string{"", "{", "{}", `{"entries":[{"address":"localhost:80"}]}`, `{"entries":[]}`} {
 		if _, err := parseDiscovery("192.0.2.1:80", []byte(text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 	for _, entries := range [][]string{nil, {"localhost:80"}} {
 		if _, err := New(Options{Entries: entries}); err == nil {
-			t.Errorf("entries %v were taken", entries)
+			t.Errorf("entries %v were accepted", entries)
 		}
 	}
 }
@@ -289,7 +291,7 @@
 	f.Add([]byte(`{"entries":null}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if d, err := parseDiscovery("192.0.2.1:80", data); err == nil && len(d.Entries) == 0 {
-			t.Fatalf("taken without an entry: %q", data)
+			t.Fatalf("accepted without an entry: %q", data)
 		}
 	})
 }
--- a/client/discover.go
+++ b/client/discover.go
@@ -15,25 +15,25 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// maxDiscoveryBytes bounds a discovery answer.
+// maxDiscoveryBytes bounds a discovery response.
 const maxDiscoveryBytes = 64 << 10
 
-// cached is the last discovery answer of a service.
-type cached struct {
-	mu        sync.Mutex // Held while the service is being discovered.
+// cacheEntry is the last discovery response for a service.
+type cacheEntry struct {
+	mu        sync.Mutex // Locked during discovery, so that concurrent requests share one.
 	discovery Discovery
 	until     time.Time
 }
 
-// Discover returns the entries to use for a service, from the last answer while it may be used.
+// Discover returns the entries to use for a service. It returns the cached response until its max age.
 func (c *Client) Discover(ctx context.Context, service fleet.Service) (Discovery, error) {
-	entry := c.cacheOf(service)
+	entry := c.cacheEntryFor(service)
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
 	if c.now().Before(entry.until) {
 		return entry.discovery, nil
 	}
-	discovery, err := c.ask(ctx, service, entry.discovery)
+	discovery, err := c.requestDiscovery(ctx, service, entry.discovery)
 	if err != nil {
 		return Discovery{}, err
 	}
@@ -42,9 +42,9 @@
 	return discovery, nil
 }
 
-// forget makes the next Discover ask again, unless another answer has come since.
-func (c *Client) forget(service fleet.Service, ticket string) {
-	entry := c.cacheOf(service)
+// invalidate expires the cached response, unless it has been replaced since the one with this ticket.
+func (c *Client) invalidate(service fleet.Service, ticket string) {
+	entry := c.cacheEntryFor(service)
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
 	if entry.discovery.Ticket == ticket {
@@ -52,19 +52,19 @@
 	}
 }
 
-func (c *Client) cacheOf(service fleet.Service) *cached {
+func (c *Client) cacheEntryFor(service fleet.Service) *cacheEntry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	entry, ok := c.cache[service]
 	if !ok {
-		entry = &cached{}
+		entry = &cacheEntry{}
 		c.cache[service] = entry
 	}
 	return entry
 }
 
-// ask asks the entries of the last answer, then those of the options, until one answers.
-func (c *Client) ask(ctx context.Context, service fleet.Service, last Discovery) (Discovery, error) {
+// requestDiscovery tries the entries of the last response, then those of the options, until one succeeds.
+func (c *Client) requestDiscovery(ctx context.Context, service fleet.Service, last Discovery) (Discovery, error) {
 	var addresses []string
 	for _, e := range last.Entries {
 		addresses = append(addresses, e.Address)
@@ -72,7 +72,7 @@
 	addresses = append(addresses, c.shuffledEntries()...)
 	var errs []error
 	for _, address := range addresses {
-		discovery, err := c.askOne(ctx, address, service)
+		discovery, err := c.requestDiscoveryFrom(ctx, address, service)
 		if err == nil {
 			return discovery, nil
 		}
@@ -92,7 +92,7 @@
 	return out
 }
 
-func (c *Client) askOne(ctx context.Context, address string, service fleet.Service) (Discovery, error) {
+func (c *Client) requestDiscoveryFrom(ctx context.Context, address string, service fleet.Service) (Discovery, error) {
 	query := url.Values{ParamService: {string(service)}, ParamAccount: {string(c.account)}}
 	if c.zone != "" {
 		query.Set(ParamZone, string(c.zone))
@@ -119,14 +119,14 @@
 func parseDiscovery(address string, data []byte) (Discovery, error) {
 	var d Discovery
 	if err := json.Unmarshal(data, &d); err != nil {
-		return Discovery{}, fmt.Errorf("discover at %s: %d bytes: %w", address, len(data), err)
+		return Discovery{}, fmt.Errorf("discover at %s: decode response of %d bytes: %w", address, len(data), err)
 	}
 	if len(d.Entries) == 0 {
-		return Discovery{}, fmt.Errorf("discover at %s: the answer names no entry", address)
+		return Discovery{}, fmt.Errorf("discover at %s: the response contains no entry", address)
 	}
 	for _, entry := range d.Entries {
 		if _, err := netip.ParseAddrPort(entry.Address); err != nil {
-			return Discovery{}, fmt.Errorf("discover at %s: entry %q is no IP number and port", address, entry.Address)
+			return Discovery{}, fmt.Errorf("discover at %s: entry %q is not an IP address and port", address, entry.Address)
 		}
 	}
 	return d, nil
--- a/cmd/damaskctl/standin_listing.go
+++ b/cmd/damaskctl/standin_listing.go
@@ -13,7 +13,7 @@
 	"github.com/damaskcove/damaskcove/internal/tomlfile"
 )
 
-// upstreamSettings is one endpoint of the platform's list.
+// upstreamSettings is one upstream endpoint on the platform's list.
 type upstreamSettings struct {
 	Service string `toml:"service"`
 	Address string `toml:"address"`
@@ -21,7 +21,7 @@
 	Slots   int    `toml:"slots"`
 }
 
-// instanceSettings is one entry instance of the platform's list.
+// instanceSettings is one entry instance on the platform's list.
 type instanceSettings struct {
 	ID     string `toml:"id"`
 	Zone   string `toml:"zone"`
@@ -30,7 +30,7 @@
 	Peer   string `toml:"peer"`
 }
 
-// listing returns the list that the settings hold, and whether they hold any.
+// listing returns the list in the settings, and whether it has any entries.
 func (s platformSettings) listing() (metastore.Listing, bool) {
 	l := metastore.Listing{Upstreams: make(map[fleet.Service][]fleet.Upstream)}
 	for _, u := range s.Upstreams {
@@ -47,52 +47,52 @@
 	return l, len(s.Upstreams)+len(s.Instances) > 0
 }
 
-func checkListed(c *tomlfile.Collector, upstreams []upstreamSettings, instances []instanceSettings) {
+func validateListing(c *tomlfile.Collector, upstreams []upstreamSettings, instances []instanceSettings) {
 	for i, u := range upstreams {
 		key := fmt.Sprintf("upstreams[%d]", i)
-		notEmpty(c, key+".service", u.Service)
-		address(c, key+".address", u.Address)
+		validateNotEmpty(c, key+".service", u.Service)
+		validateAddress(c, key+".address", u.Address)
 		if u.Slots < 1 {
 			c.Add(key+".slots", fmt.Sprint(u.Slots), "must be at least 1")
 		}
 	}
 	for i, instance := range instances {
 		key := fmt.Sprintf("instances[%d]", i)
-		notEmpty(c, key+".id", instance.ID)
-		address(c, key+".entry", instance.Entry)
-		address(c, key+".peer", instance.Peer)
+		validateNotEmpty(c, key+".id", instance.ID)
+		validateAddress(c, key+".entry", instance.Entry)
+		validateAddress(c, key+".peer", instance.Peer)
 	}
 }
 
-func address(c *tomlfile.Collector, key, text string) {
+func validateAddress(c *tomlfile.Collector, key, text string) {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		c.Add(key, tomlfile.Show(text), "must be an IP number and port; names are not taken")
+		c.Add(key, tomlfile.FormatValue(text), "must be an IP address and port; host names are not accepted")
 	}
 }
 
-func loopback(c *tomlfile.Collector, key, text string) {
+func validateLoopback(c *tomlfile.Collector, key, text string) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil || !addr.Addr().IsLoopback() {
-		c.Add(key, tomlfile.Show(text), `must be a loopback IP number and port, as "127.0.0.1:7070"`)
+		c.Add(key, tomlfile.FormatValue(text), `must be a loopback IP address and port, such as "127.0.0.1:7070"`)
 	}
 }
 
-func notEmpty(c *tomlfile.Collector, key, text string) {
+func validateNotEmpty(c *tomlfile.Collector, key, text string) {
 	if text == "" {
 		c.Add(key, "", "must be set")
 	}
 }
 
-func notNegative(c *tomlfile.Collector, key string, d time.Duration) {
+func validateNotNegative(c *tomlfile.Collector, key string, d time.Duration) {
 	if d < 0 {
 		c.Add(key, d.String(), "must not be negative")
 	}
 }
 
-// addressError marks an address that is taken.
+// addressError adds the result code to the error of an address that is in use.
 func addressError(err error) error {
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return &failure{exit: exitFailed, code: result.CodeAddressInUse, err: err}
+		return &commandError{exit: exitFailed, code: result.CodeAddressInUse, err: err}
 	}
 	return err
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,7 +1,7 @@
-// Package operator serves the operators' endpoints of an instance on an address of
-// their own: health, status, metrics and an explanation of where a request would go.
+// Package operator serves an instance's operator endpoints on a separate address: health
+// check, status, metrics and an explanation of where a request would go.
 //
-// Every path but api.PathHealth wants "Authorization: Bearer <token>".
+// Every path except api.PathHealth requires "Authorization: Bearer <token>".
 package operator
 
 import (
@@ -22,17 +22,17 @@
 	"github.com/damaskcove/damaskcove/internal/operator/api"
 )
 
-// readHeaderTimeout bounds the time in which an operator's request must begin.
+// readHeaderTimeout bounds the time to read an operator's request headers.
 const readHeaderTimeout = 5 * time.Second
 
-// Source is what the endpoints show.
+// Source provides the contents of the responses.
 type Source interface {
 	Status() api.Status
 	Phase() api.Phase
 	Explain(method, path string, account fleet.Account) api.Explanation
 }
 
-// Server answers operators.
+// Server serves the operator endpoints.
 type Server struct {
 	source   Source
 	token    [sha256.Size]byte
@@ -40,7 +40,7 @@
 	server   *http.Server
 }
 
-// New listens on address, an IP number and port.
+// New returns a server that listens on address, an IP address and port.
 func New(address, token string, source Source) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -49,10 +49,10 @@
 	s := &Server{source: source, token: sha256.Sum256([]byte(token)), listener: listener}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathHealth, s.health)
-	mux.HandleFunc("GET "+api.PathStatus, s.guard(s.status))
-	mux.HandleFunc("GET "+api.PathInForce, s.guard(s.inForce))
-	mux.HandleFunc("GET "+api.PathExplain, s.guard(s.explain))
-	mux.HandleFunc("GET "+api.PathMetrics, s.guard(expvar.Handler().ServeHTTP))
+	mux.HandleFunc("GET "+api.PathStatus, s.requireToken(s.status))
+	mux.HandleFunc("GET "+api.PathActiveConfig, s.requireToken(s.activeConfig))
+	mux.HandleFunc("GET "+api.PathExplain, s.requireToken(s.explain))
+	mux.HandleFunc("GET "+api.PathMetrics, s.requireToken(expvar.Handler().ServeHTTP))
 	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	return s, nil
 }
@@ -62,7 +62,7 @@
 	return s.listener.Addr().String()
 }
 
-// Close stops listening. It is for a server that was never run.
+// Close closes the listener of a server that was never run.
 func (s *Server) Close() error {
 	return s.listener.Close()
 }
@@ -78,21 +78,21 @@
 	return fmt.Errorf("serve operators on %q: %w", s.Addr(), err)
 }
 
-// guard refuses requests without the token. Digests are compared so that the time
-// taken tells nothing of the token's length.
-func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// requireToken rejects requests without the token. It compares digests, so that the time taken does
+// not reveal the length of the token.
+func (s *Server) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		got := sha256.Sum256([]byte(token))
 		if subtle.ConstantTimeCompare(got[:], s.token[:]) != 1 {
-			refuse(w)
+			writeNotAuthorized(w)
 			return
 		}
 		next(w, r)
 	}
 }
 
-func refuse(w http.ResponseWriter) {
+func writeNotAuthorized(w http.ResponseWriter) {
 	entry, _ := result.Lookup(result.CodeNotAuthorized)
 	http.Error(w, fmt.Sprintf("%d %s: %s", entry.Code, entry.Name, entry.Text), entry.Status)
 }
@@ -110,9 +110,9 @@
 	writeJSON(w, s.source.Status())
 }
 
-func (s *Server) inForce(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) activeConfig(w http.ResponseWriter, _ *http.Request) {
 	status := s.source.Status()
-	writeJSON(w, api.InForce{Self: status.Self.Ref, Phase: status.Phase, Revision: status.Revision})
+	writeJSON(w, api.ActiveConfig{Self: status.Self.Ref, Phase: status.Phase, Revision: status.Revision})
 }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
