--- a/cmd/damaskctl/standin_test.go
+++ b/cmd/damaskctl/standin_test.go
@@ -130,7 +130,7 @@
 	call(t, http.MethodPost, "http://"+admin+upstream.PathConnectivity+"?endpoint="+endpoint+"&from=127.0.0.1&reach=close", "", nil)
 	ctl(context.Background(), "load", "--direct", endpoint, "--account", "a", "--path", "/stock", "--duration", "100ms", "--warmup", "0s").want(t, exitDone, "no-answer")
 	call(t, http.MethodPost, "http://"+admin+upstream.PathDrain+"?endpoint="+endpoint, "", nil)
-	for listing.Upstreams["stock"][0].State != fleet.UpstreamLeaving {
+	for listing.Upstreams["stock"][0].State != fleet.UpstreamDraining {
 		var err error
 		if listing, err = c.Read(context.Background()); err != nil {
 			t.Fatal(err)
--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -61,9 +61,9 @@
 
 // Values of UpstreamState.
 const (
-	UpstreamCold    UpstreamState = iota + 1 // Started but not warmed up.
-	UpstreamReady                            // Accepts requests.
-	UpstreamLeaving                          // Finishes its requests and accepts no new ones.
+	UpstreamCold     UpstreamState = iota + 1 // Started but not warmed up.
+	UpstreamReady                             // Accepts requests.
+	UpstreamDraining                          // Finishes its requests and accepts no new ones.
 )
 
 // Upstream is one upstream endpoint of a service.
--- a/coord/health/safety_test.go
+++ b/coord/health/safety_test.go
@@ -96,7 +96,7 @@
 func (sim *simulation) listActions(actions map[string]func(*rapid.T)) {
 	actions["truth"] = func(t *rapid.T) {
 		i := rapid.IntRange(0, len(sim.actual)-1).Draw(t, "endpoint")
-		sim.actual[i].State = rapid.SampledFrom([]fleet.UpstreamState{fleet.UpstreamReady, fleet.UpstreamCold, fleet.UpstreamLeaving}).Draw(t, "state")
+		sim.actual[i].State = rapid.SampledFrom([]fleet.UpstreamState{fleet.UpstreamReady, fleet.UpstreamCold, fleet.UpstreamDraining}).Draw(t, "state")
 	}
 	actions["listing"] = func(t *rapid.T) {
 		if n := sim.drawNode("node"); n.alive {
--- a/coord/routing/api.go
+++ b/coord/routing/api.go
@@ -15,7 +15,7 @@
 	StateExcluded                       // Ejected, or unreachable from this zone: takes no requests.
 	StateTrial                          // Takes one trial request at a time: idempotent, and hedged on another endpoint.
 	StateCold                           // In slow start: its limit grows from one.
-	StateLeaving                        // Takes no new requests; running attempts finish.
+	StateDraining                       // Takes no new requests; running attempts finish.
 )
 
 // Target describes one endpoint to the balancer.
--- a/coord/routing/behavior_test.go
+++ b/coord/routing/behavior_test.go
@@ -271,7 +271,7 @@
 	b := newTestBalancer(Config{}, target(endpointA, 1, StateAvailable))
 	b.Submit(testStart, idempotentRequest(1))
 	b.Submit(testStart, idempotentRequest(2))
-	effects := b.MarkLeaving(testStart, endpointA)
+	effects := b.MarkDraining(testStart, endpointA)
 	if r := onlyEffect[Reject](t, effects); r.ID != 2 || r.Reason != RejectNoEndpoint {
 		t.Fatalf("rejected %+v", r)
 	}
@@ -311,7 +311,7 @@
 	b.Submit(testStart, idempotentRequest(1))
 	second := onlyEffect[Dispatch](t, b.Submit(testStart, idempotentRequest(2)))
 	b.Finish(testStart, 1, 1, AttemptIncomplete, 0)
-	effects := b.MarkLeaving(testStart, second.Endpoint)
+	effects := b.MarkDraining(testStart, second.Endpoint)
 	if d := onlyEffect[Deliver](t, effects); d.ID != 1 || d.Attempt != 1 || len(effects) != 1 {
 		t.Fatalf("effects %+v", effects)
 	}
--- a/coord/routing/doc.go
+++ b/coord/routing/doc.go
@@ -9,7 +9,7 @@
 // Guarantees, each checked by a property test:
 //
 //   - No attempt starts on an endpoint whose running attempts have reached its limit.
-//   - No attempt starts on an endpoint that is excluded, leaving or removed.
+//   - No attempt starts on an endpoint that is excluded, draining or removed.
 //   - A request that is not idempotent is retried only after every earlier attempt is
 //     known not to have run (AttemptNotSent, AttemptRefused).
 //   - Over any window, retries and hedges together number at most RetryShare times the
--- a/coord/routing/model_test.go
+++ b/coord/routing/model_test.go
@@ -17,7 +17,7 @@
 // drawnStates are the states that targets are drawn from; most targets are available.
 var drawnStates = []EndpointState{
 	StateAvailable, StateAvailable, StateAvailable, StateAvailable,
-	StateCold, StateTrial, StateExcluded, StateLeaving,
+	StateCold, StateTrial, StateExcluded, StateDraining,
 }
 
 // didNotRun are the results after which a request is known not to have run.
@@ -93,7 +93,7 @@
 func (m *model) dispatched(d Dispatch) {
 	r := m.requests[d.ID]
 	target, listed := m.targets[d.Endpoint]
-	if !listed || target.State == StateExcluded || target.State == StateLeaving {
+	if !listed || target.State == StateExcluded || target.State == StateDraining {
 		m.t.Fatalf("attempt of request %d to %s, listed %v, state %d", d.ID, d.Endpoint, listed, target.State)
 	}
 	if target.State == StateTrial && (!r.Idempotent || !d.Trial) {
--- a/coord/routing/selection.go
+++ b/coord/routing/selection.go
@@ -27,13 +27,13 @@
 	return b.targetsChanged(now)
 }
 
-// MarkLeaving sets an endpoint to StateLeaving until the next SetTargets that lists it.
-func (b *Balancer) MarkLeaving(now time.Time, address fleet.Endpoint) []Effect {
+// MarkDraining sets an endpoint to StateDraining until the next SetTargets that lists it.
+func (b *Balancer) MarkDraining(now time.Time, address fleet.Endpoint) []Effect {
 	e := b.byAddress[address]
 	if e == nil {
 		return nil
 	}
-	e.target.State = StateLeaving
+	e.target.State = StateDraining
 	return b.targetsChanged(now)
 }
 
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -24,7 +24,7 @@
 	answer         exchange.Answer
 	latency        time.Duration
 	endpointFailed bool // The endpoint returned an error, was unreachable or did not answer by the deadline.
-	leaving        bool
+	draining       bool
 	load           float64
 	hasLoad        bool
 	reusable       bool
@@ -102,7 +102,7 @@
 func readAnswer(endpoint fleet.Endpoint, resp *fasthttp.Response, bodiless bool) outcome {
 	status := resp.StatusCode()
 	o := outcome{reusable: !resp.ConnectionClose()}
-	o.leaving = headerValue(resp, HeaderLeaving) == "1"
+	o.draining = headerValue(resp, HeaderLeaving) == "1"
 	o.load, o.hasLoad = parseLoad(headerValue(resp, HeaderLoad))
 	if status == statusNotStarted && headerValue(resp, HeaderNotStarted) == "1" {
 		o.result = routing.AttemptRefused
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -299,21 +299,21 @@
 	}
 }
 
-func TestLeavingHeaderStopsNewRequests(t *testing.T) {
-	leaving := newRawUpstream(t, always("HTTP/1.1 200 OK\r\nX-Leaving: 1\r\nContent-Length: 0\r\n\r\n"))
+func TestDrainingHeaderStopsNewRequests(t *testing.T) {
+	draining := newRawUpstream(t, always("HTTP/1.1 200 OK\r\nX-Leaving: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := newRecorder()
-	d := testDispatcher(t, r, targetsOf(1, leaving.endpoint()))
+	d := testDispatcher(t, r, targetsOf(1, draining.endpoint()))
 	if a := d.Execute(context.Background(), post("x")); a.Code != result.CodeAnswered {
 		t.Fatalf("answer %+v", a)
 	}
-	if e := <-r.leaving; e != leaving.endpoint() {
-		t.Fatalf("leaving %s", e)
+	if e := <-r.draining; e != draining.endpoint() {
+		t.Fatalf("draining %s", e)
 	}
 	// The platform's list is stale and still names the endpoint as available.
-	d.SetTargets(testService, routing.Config{}, targetsOf(1, leaving.endpoint()))
+	d.SetTargets(testService, routing.Config{}, targetsOf(1, draining.endpoint()))
 	a := d.Execute(context.Background(), post("y"))
-	if a.Code != result.CodeNoEndpoint || leaving.count() != 1 {
-		t.Fatalf("answer %+v, %d requests", a, leaving.count())
+	if a.Code != result.CodeNoEndpoint || draining.count() != 1 {
+		t.Fatalf("answer %+v, %d requests", a, draining.count())
 	}
 }
 
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -95,9 +95,9 @@
 	if o.hasLoad {
 		s.balancer.SetLoad(now, e.Endpoint, o.load)
 	}
-	if o.leaving {
-		s.leavingUntil[e.Endpoint] = now.Add(s.settings.LeavingHold)
-		s.apply(now, s.balancer.MarkLeaving(now, e.Endpoint))
+	if o.draining {
+		s.drainingUntil[e.Endpoint] = now.Add(s.settings.DrainingHold)
+		s.apply(now, s.balancer.MarkDraining(now, e.Endpoint))
 	}
 	s.apply(now, s.balancer.Finish(now, e.ID, e.Attempt, o.result, o.latency))
 	s.removeFinished(e.ID, c)
@@ -106,10 +106,10 @@
 
 // notifyHooks calls the hooks after an attempt. s.mu must not be held.
 func (s *service) notifyHooks(e routing.Dispatch, o outcome, superseded bool) {
-	if o.leaving {
-		counters.Add(countLeaving, 1)
-		if s.hooks.Leaving != nil {
-			s.hooks.Leaving(s.name, e.Endpoint)
+	if o.draining {
+		counters.Add(countDraining, 1)
+		if s.hooks.Draining != nil {
+			s.hooks.Draining(s.name, e.Endpoint)
 		}
 	}
 	if s.hooks.Observe == nil || !observable(e, o, superseded) {
--- a/internal/dispatch/headers.go
+++ b/internal/dispatch/headers.go
@@ -12,7 +12,7 @@
 const (
 	HeaderDeadline   = "X-Request-Deadline-Ms" // To upstreams: milliseconds left.
 	HeaderNotStarted = "X-Not-Started"         // From upstreams, "1" with status 503: the request was refused before it started.
-	HeaderLeaving    = "X-Leaving"             // From upstreams, "1": the endpoint is leaving and wants no new requests.
+	HeaderLeaving    = "X-Leaving"             // From upstreams, "1": the endpoint is draining and wants no new requests.
 	HeaderLoad       = "X-Load"                // From upstreams: the endpoint's load, 0 to 1.
 )
 
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -16,6 +16,6 @@
 	countDials      = "dials"
 	countStale      = "idle_connections_dropped"
 	countPanics     = "attempt_panics"
-	countLeaving    = "leaving_answers"
+	countDraining   = "leaving_answers"
 	countCodePrefix = "code_"
 )
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -22,15 +22,15 @@
 	settings Settings
 	hooks    Hooks
 
-	mu           sync.Mutex
-	balancer     *routing.Balancer
-	calls        map[uint64]*call
-	pools        map[fleet.Endpoint]*connPool
-	leavingUntil map[fleet.Endpoint]time.Time
-	nextID       uint64
-	timer        *time.Timer
-	timerAt      time.Time // Zero when the timer is not set.
-	closed       bool
+	mu            sync.Mutex
+	balancer      *routing.Balancer
+	calls         map[uint64]*call
+	pools         map[fleet.Endpoint]*connPool
+	drainingUntil map[fleet.Endpoint]time.Time
+	nextID        uint64
+	timer         *time.Timer
+	timerAt       time.Time // Zero when the timer is not set.
+	closed        bool
 }
 
 // call is a caller's request with its attempts.
@@ -52,13 +52,13 @@
 
 func newService(name fleet.Service, settings Settings, hooks Hooks, random *rand.Rand) *service {
 	s := &service{
-		name:         name,
-		settings:     settings,
-		hooks:        hooks,
-		balancer:     routing.NewBalancer(routing.Config{}, random),
-		calls:        make(map[uint64]*call),
-		pools:        make(map[fleet.Endpoint]*connPool),
-		leavingUntil: make(map[fleet.Endpoint]time.Time),
+		name:          name,
+		settings:      settings,
+		hooks:         hooks,
+		balancer:      routing.NewBalancer(routing.Config{}, random),
+		calls:         make(map[uint64]*call),
+		pools:         make(map[fleet.Endpoint]*connPool),
+		drainingUntil: make(map[fleet.Endpoint]time.Time),
 	}
 	s.timer = time.AfterFunc(time.Hour, s.tick)
 	s.timer.Stop()
@@ -121,26 +121,26 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.balancer.SetConfig(cfg)
-	targets = s.markLeaving(now, targets)
+	targets = s.markDraining(now, targets)
 	s.setPools(targets)
 	s.apply(now, s.balancer.SetTargets(now, targets))
 }
 
-// markLeaving returns targets with the state "leaving" for the endpoints whose recent
-// answers said that they are leaving.
-func (s *service) markLeaving(now time.Time, targets []routing.Target) []routing.Target {
-	for endpoint, until := range s.leavingUntil {
+// markDraining returns targets with the state "draining" for the endpoints whose recent
+// answers said that they are draining.
+func (s *service) markDraining(now time.Time, targets []routing.Target) []routing.Target {
+	for endpoint, until := range s.drainingUntil {
 		if !now.Before(until) {
-			delete(s.leavingUntil, endpoint)
+			delete(s.drainingUntil, endpoint)
 		}
 	}
-	if len(s.leavingUntil) == 0 {
+	if len(s.drainingUntil) == 0 {
 		return targets
 	}
 	marked := append([]routing.Target(nil), targets...)
 	for i := range marked {
-		if _, leaving := s.leavingUntil[marked[i].Upstream.Endpoint]; leaving {
-			marked[i].State = routing.StateLeaving
+		if _, draining := s.drainingUntil[marked[i].Upstream.Endpoint]; draining {
+			marked[i].State = routing.StateDraining
 		}
 	}
 	return marked
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -13,7 +13,7 @@
 	DefaultDialTimeout    = 500 * time.Millisecond
 	DefaultIdleTimeout    = 30 * time.Second
 	DefaultDeadline       = 30 * time.Second
-	DefaultLeavingHold    = 10 * time.Second
+	DefaultDrainingHold   = 10 * time.Second
 )
 
 // Settings configures a Dispatcher. Zero values take the defaults.
@@ -23,7 +23,7 @@
 	SourceIP       string        // Local IP address of connections to upstreams; empty lets the system choose.
 	IdleTimeout    time.Duration // An idle connection is closed after this time.
 	Deadline       time.Duration // For requests without a deadline.
-	LeavingHold    time.Duration // How long an endpoint that reported it is leaving gets no new requests, whatever state the targets give it.
+	DrainingHold   time.Duration // How long an endpoint that reported it is draining gets no new requests, whatever state the targets give it.
 	Seed           uint64        // Seeds the random choices; zero picks a random seed.
 }
 
@@ -34,8 +34,8 @@
 	// an attempt that was cancelled because its hedge answered first, the latency is the time
 	// until the cancellation, which is a lower bound.
 	Observe func(service fleet.Service, a health.Attempt)
-	// Leaving is called when an answer says that its endpoint is leaving.
-	Leaving func(service fleet.Service, endpoint fleet.Endpoint)
+	// Draining is called when an answer says that its endpoint is draining.
+	Draining func(service fleet.Service, endpoint fleet.Endpoint)
 }
 
 func (s Settings) withDefaults() Settings {
@@ -51,8 +51,8 @@
 	if s.Deadline <= 0 {
 		s.Deadline = DefaultDeadline
 	}
-	if s.LeavingHold <= 0 {
-		s.LeavingHold = DefaultLeavingHold
+	if s.DrainingHold <= 0 {
+		s.DrainingHold = DefaultDrainingHold
 	}
 	return s
 }
--- a/internal/dispatch/upstream_test.go
+++ b/internal/dispatch/upstream_test.go
@@ -120,18 +120,18 @@
 
 // recorder records the calls of the hooks.
 type recorder struct {
-	leaving  chan fleet.Endpoint
+	draining chan fleet.Endpoint
 	observed chan health.Attempt
 }
 
 func newRecorder() *recorder {
-	return &recorder{leaving: make(chan fleet.Endpoint, 16), observed: make(chan health.Attempt, 64)}
+	return &recorder{draining: make(chan fleet.Endpoint, 16), observed: make(chan health.Attempt, 64)}
 }
 
 func (r *recorder) hooks() Hooks {
 	return Hooks{
-		Observe: func(_ fleet.Service, a health.Attempt) { r.observed <- a },
-		Leaving: func(_ fleet.Service, e fleet.Endpoint) { r.leaving <- e },
+		Observe:  func(_ fleet.Service, a health.Attempt) { r.observed <- a },
+		Draining: func(_ fleet.Service, e fleet.Endpoint) { r.draining <- e },
 	}
 }
 
--- a/internal/endpoints/manager.go
+++ b/internal/endpoints/manager.go
@@ -108,11 +108,11 @@
 	m.configure(now)
 }
 
-// MarkLeaving records that an endpoint announced in a response that it is leaving. It gets no
+// MarkDraining records that an endpoint announced in a response that it is draining. It gets no
 // new requests from now on.
-func (m *Manager) MarkLeaving(now time.Time, s fleet.Service, e fleet.Endpoint) {
+func (m *Manager) MarkDraining(now time.Time, s fleet.Service, e fleet.Endpoint) {
 	if state := m.services[s]; state != nil {
-		state.leaving[e] = now
+		state.draining[e] = now
 		m.configure(now)
 		m.publish(now, state)
 	}
--- a/internal/endpoints/manager_test.go
+++ b/internal/endpoints/manager_test.go
@@ -205,13 +205,13 @@
 	}
 }
 
-func TestLeavingEndpointIsMarkedAtOnce(t *testing.T) {
+func TestDrainingEndpointIsMarkedAtOnce(t *testing.T) {
 	n := newNetwork(t, 1, 3)
 	n.run(time.Second, "")
 	node := n.nodes[fleet.Ref{ID: "i0", Incarnation: 1}]
-	node.manager.MarkLeaving(n.now, catalogue, "10.0.0.1:80")
-	if count, of := n.countInState("10.0.0.1:80", routing.StateLeaving); count != 1 || of != 1 {
-		t.Fatalf("endpoint is marked leaving at %d of %d instances", count, of)
+	node.manager.MarkDraining(n.now, catalogue, "10.0.0.1:80")
+	if count, of := n.countInState("10.0.0.1:80", routing.StateDraining); count != 1 || of != 1 {
+		t.Fatalf("endpoint is marked draining at %d of %d instances", count, of)
 	}
 }
 
--- a/internal/endpoints/service.go
+++ b/internal/endpoints/service.go
@@ -20,7 +20,7 @@
 	name      fleet.Service
 	template  rollout.ServiceTemplate
 	upstreams []fleet.Upstream
-	leaving   map[fleet.Endpoint]time.Time // When the endpoint itself announced that it is leaving.
+	draining  map[fleet.Endpoint]time.Time // When the endpoint itself announced that it is draining.
 
 	carriers          []fleet.Instance
 	former            []formerSet
@@ -36,12 +36,12 @@
 }
 
 func newService(name fleet.Service) *service {
-	return &service{name: name, leaving: make(map[fleet.Endpoint]time.Time)}
+	return &service{name: name, draining: make(map[fleet.Endpoint]time.Time)}
 }
 
-// leavingTTL is how long an endpoint's own announcement that it is leaving overrides the
+// drainingTTL is how long an endpoint's own announcement that it is draining overrides the
 // platform's list, which lags.
-const leavingTTL = time.Minute
+const drainingTTL = time.Minute
 
 // upstreams returns the listed endpoints of a service, without duplicates and endpoints that have no slots.
 func (m *Manager) upstreams(now time.Time, s *service) []fleet.Upstream {
@@ -53,8 +53,8 @@
 			continue
 		}
 		seen[u.Endpoint] = struct{}{}
-		if at, ok := s.leaving[u.Endpoint]; ok && now.Sub(at) < leavingTTL {
-			u.State = fleet.UpstreamLeaving
+		if at, ok := s.draining[u.Endpoint]; ok && now.Sub(at) < drainingTTL {
+			u.State = fleet.UpstreamDraining
 		}
 		upstreams = append(upstreams, u)
 	}
--- a/internal/endpoints/targets.go
+++ b/internal/endpoints/targets.go
@@ -69,8 +69,8 @@
 
 func endpointState(listed fleet.UpstreamState, view health.State) routing.EndpointState {
 	switch {
-	case listed == fleet.UpstreamLeaving:
-		return routing.StateLeaving
+	case listed == fleet.UpstreamDraining:
+		return routing.StateDraining
 	case view == health.StateEjected || view == health.StateAvoided:
 		return routing.StateExcluded
 	case view == health.StateTrial:
--- a/internal/listing/bench_test.go
+++ b/internal/listing/bench_test.go
@@ -36,12 +36,12 @@
 	return l
 }
 
-// next returns the next version of the list, in which one endpoint is leaving.
+// next returns the next version of the list, in which one endpoint is draining.
 func next(l *metastore.Listing) *metastore.Listing {
 	out := changeMessage(l, l).apply(l)
 	out.Version = l.Version + 1
 	changed := append([]fleet.Upstream(nil), out.Upstreams["service-3"]...)
-	changed[0].State = fleet.UpstreamLeaving
+	changed[0].State = fleet.UpstreamDraining
 	out.Upstreams["service-3"] = changed
 	return out
 }
@@ -111,7 +111,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := s.duties[1].Deliver(s.now.Add(time.Second), ref(0), e); err != nil {
+		if err := s.managers[1].Deliver(s.now.Add(time.Second), ref(0), e); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/listing/clean.go
+++ b/internal/listing/clean.go
@@ -31,7 +31,7 @@
 	if err != nil || addr.Port() == 0 {
 		return false
 	}
-	validState := u.State == fleet.UpstreamCold || u.State == fleet.UpstreamReady || u.State == fleet.UpstreamLeaving
+	validState := u.State == fleet.UpstreamCold || u.State == fleet.UpstreamReady || u.State == fleet.UpstreamDraining
 	return validState && u.Slots > 0 && u.Slots <= MaxSlots
 }
 
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -62,8 +62,8 @@
 			}
 		}
 		check := func() {
-			for i, d := range s.duties {
-				l := d.Snapshot()
+			for i, m := range s.managers {
+				l := m.Snapshot()
 				if l == nil {
 					continue
 				}
@@ -99,8 +99,8 @@
 		s.down, s.lag = false, 0
 		s.advance(2 * WatcherTimeout)
 		check()
-		for i, d := range s.duties {
-			if got := d.Snapshot(); got == nil || got.Version != s.latest.Version {
+		for i, m := range s.managers {
+			if got := m.Snapshot(); got == nil || got.Version != s.latest.Version {
 				rt.Fatalf("instance %d holds %+v, the latest is version %d", i, got, s.latest.Version)
 			}
 		}
@@ -143,9 +143,9 @@
 	s.watchers[0] = false
 	s.publish(func(l *metastore.Listing) { l.Upstreams["a"] = []fleet.Upstream{endpoint(1, 4, fleet.UpstreamReady)} })
 	s.advance(2 * WatcherTimeout)
-	for i, d := range s.duties {
-		if d.Snapshot().Version != 1 {
-			t.Errorf("instance %d is at version %d", i, d.Snapshot().Version)
+	for i, m := range s.managers {
+		if m.Snapshot().Version != 1 {
+			t.Errorf("instance %d is at version %d", i, m.Snapshot().Version)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := s.duties[0].Deliver(s.now, ref(5), e); !errors.Is(err, wire.ErrMalformed) {
+		if err := s.managers[0].Deliver(s.now, ref(5), e); !errors.Is(err, wire.ErrMalformed) {
 			t.Errorf("%v: %v", body, err)
 		}
 	}
--- a/internal/listing/duty.go
+++ b/internal/listing/manager.go
@@ -22,7 +22,7 @@
 	RequestInterval = time.Second     // Minimum time between requests for the full list.
 )
 
-// Options configures a Duty.
+// Options configures a Manager.
 type Options struct {
 	List     metastore.List
 	Sender   control.Sender
@@ -34,7 +34,7 @@
 	Random   *rand.Rand
 }
 
-// Stats are the counters of a Duty.
+// Stats are the counters of a Manager.
 type Stats struct {
 	Reads      uint64 `json:"reads"`
 	ReadErrors uint64 `json:"read_errors"`
@@ -44,9 +44,9 @@
 	Stale      uint64 `json:"stale"`   // Older lists ignored.
 }
 
-// Duty keeps the current list. Its methods must be called on the control goroutine, except
+// Manager keeps the current list. Its methods must be called on the control goroutine, except
 // Snapshot and Stats, which are safe for concurrent use.
-type Duty struct {
+type Manager struct {
 	o              Options
 	snapshot       atomic.Pointer[metastore.Listing]
 	stats          atomic.Pointer[Stats]
@@ -59,235 +59,235 @@
 	watching       bool
 }
 
-var _ control.Component = (*Duty)(nil)
+var _ control.Component = (*Manager)(nil)
 
-// New returns a duty without a list.
-func New(o Options) *Duty {
+// New returns a Manager without a list.
+func New(o Options) *Manager {
 	if o.Go == nil {
 		o.Go = func(f func()) { go f() }
 	}
 	if o.OnChange == nil {
 		o.OnChange = func(time.Time, *metastore.Listing) {}
 	}
-	d := &Duty{o: o}
-	d.stats.Store(&Stats{})
-	return d
+	m := &Manager{o: o}
+	m.stats.Store(&Stats{})
+	return m
 }
 
 // Snapshot returns the current list, or nil before the first. It must not be modified.
-func (d *Duty) Snapshot() *metastore.Listing {
-	return d.snapshot.Load()
+func (m *Manager) Snapshot() *metastore.Listing {
+	return m.snapshot.Load()
 }
 
 // Stats returns the current counters.
-func (d *Duty) Stats() Stats {
-	return *d.stats.Load()
+func (m *Manager) Stats() Stats {
+	return *m.stats.Load()
 }
 
 // Kinds implements control.Component.
-func (d *Duty) Kinds() []wire.Kind {
+func (m *Manager) Kinds() []wire.Kind {
 	return []wire.Kind{wire.KindListing}
 }
 
 // Tick implements control.Component.
-func (d *Duty) Tick(now time.Time) {
-	defer d.publishStats()
-	d.updateRole(now)
-	if d.watching {
-		d.watch(now)
+func (m *Manager) Tick(now time.Time) {
+	defer m.publishStats()
+	m.updateRole(now)
+	if m.watching {
+		m.watch(now)
 		return
 	}
-	d.readIfSilent(now)
+	m.readIfSilent(now)
 }
 
 // readIfSilent reads the list if no message has arrived in time, and every ReadInterval until
 // the first list.
-func (d *Duty) readIfSilent(now time.Time) {
-	firstReadDue := d.snapshot.Load() == nil && !now.Before(d.nextRead)
-	if !firstReadDue && now.Before(d.fallbackReadAt) {
+func (m *Manager) readIfSilent(now time.Time) {
+	firstReadDue := m.snapshot.Load() == nil && !now.Before(m.nextRead)
+	if !firstReadDue && now.Before(m.fallbackReadAt) {
 		return
 	}
-	d.nextRead = now.Add(d.jittered(ReadInterval))
-	d.fallbackReadAt = now.Add(d.jitteredWatcherTimeout())
-	d.read()
+	m.nextRead = now.Add(m.jittered(ReadInterval))
+	m.fallbackReadAt = now.Add(m.jitteredWatcherTimeout())
+	m.read()
 }
 
 // updateRole checks whether the instance is a watcher and resets the timers when this changes.
-func (d *Duty) updateRole(now time.Time) {
-	watching := d.o.Watcher()
-	if watching == d.watching {
+func (m *Manager) updateRole(now time.Time) {
+	watching := m.o.Watcher()
+	if watching == m.watching {
 		return
 	}
-	d.watching = watching
-	d.nextCurrent = now
-	d.nextRead = now
-	d.fallbackReadAt = now.Add(d.jitteredWatcherTimeout())
+	m.watching = watching
+	m.nextCurrent = now
+	m.nextRead = now
+	m.fallbackReadAt = now.Add(m.jitteredWatcherTimeout())
 }
 
-func (d *Duty) watch(now time.Time) {
-	if !now.Before(d.nextRead) {
-		d.nextRead = now.Add(d.jittered(ReadInterval))
-		d.read()
+func (m *Manager) watch(now time.Time) {
+	if !now.Before(m.nextRead) {
+		m.nextRead = now.Add(m.jittered(ReadInterval))
+		m.read()
 	}
-	current := d.snapshot.Load()
-	if current == nil || now.Before(d.nextCurrent) {
+	current := m.snapshot.Load()
+	if current == nil || now.Before(m.nextCurrent) {
 		return
 	}
-	d.push(now, Message{Kind: MessageCurrent, Version: current.Version})
+	m.push(now, Message{Kind: MessageCurrent, Version: current.Version})
 }
 
-func (d *Duty) jittered(interval time.Duration) time.Duration {
-	factor := 1 + ReadJitter*(2*d.o.Random.Float64()-1)
+func (m *Manager) jittered(interval time.Duration) time.Duration {
+	factor := 1 + ReadJitter*(2*m.o.Random.Float64()-1)
 	return time.Duration(float64(interval) * factor)
 }
 
-func (d *Duty) jitteredWatcherTimeout() time.Duration {
-	return time.Duration(float64(WatcherTimeout) * (1 + d.o.Random.Float64()/2))
+func (m *Manager) jitteredWatcherTimeout() time.Duration {
+	return time.Duration(float64(WatcherTimeout) * (1 + m.o.Random.Float64()/2))
 }
 
 // read starts reading the list in the background unless a read is running.
-func (d *Duty) read() {
-	if d.reading {
+func (m *Manager) read() {
+	if m.reading {
 		return
 	}
-	d.reading = true
-	d.counts.Reads++
-	d.o.Go(func() {
+	m.reading = true
+	m.counts.Reads++
+	m.o.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), ReadTimeout)
 		defer cancel()
-		listing, err := d.o.List.Read(ctx)
-		d.o.Post(func(now time.Time) { d.readDone(now, listing, err) })
+		listing, err := m.o.List.Read(ctx)
+		m.o.Post(func(now time.Time) { m.readDone(now, listing, err) })
 	})
 }
 
-func (d *Duty) readDone(now time.Time, l metastore.Listing, err error) {
-	defer d.publishStats()
-	d.reading = false
+func (m *Manager) readDone(now time.Time, l metastore.Listing, err error) {
+	defer m.publishStats()
+	m.reading = false
 	if err != nil {
-		d.counts.ReadErrors++
+		m.counts.ReadErrors++
 		return
 	}
-	before := d.snapshot.Load()
-	if !d.isNewer(l.Version) {
+	before := m.snapshot.Load()
+	if !m.isNewer(l.Version) {
 		return
 	}
 	cleaned, dropped := clean(&l)
-	d.counts.Dropped += uint64(dropped)
-	d.setSnapshot(now, cleaned)
-	if !d.watching {
+	m.counts.Dropped += uint64(dropped)
+	m.setSnapshot(now, cleaned)
+	if !m.watching {
 		return
 	}
 	if before == nil {
-		d.push(now, Message{Kind: MessageCurrent, Version: cleaned.Version})
+		m.push(now, Message{Kind: MessageCurrent, Version: cleaned.Version})
 		return
 	}
-	d.push(now, changeMessage(before, cleaned))
+	m.push(now, changeMessage(before, cleaned))
 }
 
 // isNewer reports whether a version is newer than the current list. It counts older ones.
-func (d *Duty) isNewer(version uint64) bool {
-	held := d.snapshot.Load()
+func (m *Manager) isNewer(version uint64) bool {
+	held := m.snapshot.Load()
 	if held != nil && version < held.Version {
-		d.counts.Stale++
+		m.counts.Stale++
 	}
 	return held == nil || version > held.Version
 }
 
 // setSnapshot replaces the current list by a newer one.
-func (d *Duty) setSnapshot(now time.Time, l *metastore.Listing) {
-	d.snapshot.Store(l)
-	d.counts.Applied++
-	d.o.OnChange(now, l)
+func (m *Manager) setSnapshot(now time.Time, l *metastore.Listing) {
+	m.snapshot.Store(l)
+	m.counts.Applied++
+	m.o.OnChange(now, l)
 }
 
 // push sends a message to every member that this watcher pushes to.
-func (d *Duty) push(now time.Time, m Message) {
-	d.nextCurrent = now.Add(d.jittered(CurrentInterval))
-	for _, peer := range d.o.Peers() {
-		d.send(peer, m)
+func (m *Manager) push(now time.Time, msg Message) {
+	m.nextCurrent = now.Add(m.jittered(CurrentInterval))
+	for _, peer := range m.o.Peers() {
+		m.send(peer, msg)
 	}
 }
 
-func (d *Duty) send(to fleet.Ref, m Message) {
-	d.counts.Pushed++
-	d.o.Sender.Send(to, wire.KindListing, m)
+func (m *Manager) send(to fleet.Ref, msg Message) {
+	m.counts.Pushed++
+	m.o.Sender.Send(to, wire.KindListing, msg)
 }
 
 // Deliver implements control.Component.
-func (d *Duty) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
-	defer d.publishStats()
-	var m Message
-	if err := wire.DecodeBody(e, &m); err != nil {
+func (m *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
+	defer m.publishStats()
+	var msg Message
+	if err := wire.DecodeBody(e, &msg); err != nil {
 		return err
 	}
-	if m.Kind == MessageRequest {
-		d.sendIfNewer(from, m)
+	if msg.Kind == MessageRequest {
+		m.sendIfNewer(from, msg)
 		return nil
 	}
-	d.fallbackReadAt = now.Add(d.jitteredWatcherTimeout())
-	switch m.Kind {
+	m.fallbackReadAt = now.Add(m.jitteredWatcherTimeout())
+	switch msg.Kind {
 	case MessageCurrent:
-		d.requestIfNewer(now, from, m)
+		m.requestIfNewer(now, from, msg)
 	case MessageChange:
-		d.applyChange(now, from, m)
+		m.applyChange(now, from, msg)
 	case MessageFull:
-		d.applyFull(now, m)
+		m.applyFull(now, msg)
 	default:
-		return fmt.Errorf("%w: listing message of kind %d from %v", wire.ErrMalformed, m.Kind, from)
+		return fmt.Errorf("%w: listing message of kind %d from %v", wire.ErrMalformed, msg.Kind, from)
 	}
 	return nil
 }
 
 // sendIfNewer sends the full list to a member that holds an older one.
-func (d *Duty) sendIfNewer(to fleet.Ref, m Message) {
-	if held := d.snapshot.Load(); held != nil && held.Version > m.Version {
-		d.send(to, fullMessage(held))
+func (m *Manager) sendIfNewer(to fleet.Ref, msg Message) {
+	if held := m.snapshot.Load(); held != nil && held.Version > msg.Version {
+		m.send(to, fullMessage(held))
 	}
 }
 
 // requestIfNewer requests the full list if the sender holds a newer one.
-func (d *Duty) requestIfNewer(now time.Time, from fleet.Ref, m Message) {
-	held := d.heldVersion()
-	if m.Version <= held || now.Before(d.nextRequest) {
+func (m *Manager) requestIfNewer(now time.Time, from fleet.Ref, msg Message) {
+	held := m.heldVersion()
+	if msg.Version <= held || now.Before(m.nextRequest) {
 		return
 	}
-	d.nextRequest = now.Add(RequestInterval)
-	d.send(from, Message{Kind: MessageRequest, Version: held})
+	m.nextRequest = now.Add(RequestInterval)
+	m.send(from, Message{Kind: MessageRequest, Version: held})
 }
 
 // applyChange applies a change to the list it was computed from, or requests the full list if
 // the current one has another version.
-func (d *Duty) applyChange(now time.Time, from fleet.Ref, m Message) {
-	held := d.snapshot.Load()
-	if held == nil || held.Version != m.Base {
-		d.requestIfNewer(now, from, m)
+func (m *Manager) applyChange(now time.Time, from fleet.Ref, msg Message) {
+	held := m.snapshot.Load()
+	if held == nil || held.Version != msg.Base {
+		m.requestIfNewer(now, from, msg)
 		return
 	}
-	if !d.isNewer(m.Version) {
+	if !m.isNewer(msg.Version) {
 		return
 	}
-	dropped := m.clean()
-	d.counts.Dropped += uint64(dropped)
-	d.setSnapshot(now, m.apply(held))
+	dropped := msg.clean()
+	m.counts.Dropped += uint64(dropped)
+	m.setSnapshot(now, msg.apply(held))
 }
 
-func (d *Duty) applyFull(now time.Time, m Message) {
-	if !d.isNewer(m.Version) {
+func (m *Manager) applyFull(now time.Time, msg Message) {
+	if !m.isNewer(msg.Version) {
 		return
 	}
-	cleaned, dropped := clean(m.listing())
-	d.counts.Dropped += uint64(dropped)
-	d.setSnapshot(now, cleaned)
+	cleaned, dropped := clean(msg.listing())
+	m.counts.Dropped += uint64(dropped)
+	m.setSnapshot(now, cleaned)
 }
 
-func (d *Duty) heldVersion() uint64 {
-	if held := d.snapshot.Load(); held != nil {
+func (m *Manager) heldVersion() uint64 {
+	if held := m.snapshot.Load(); held != nil {
 		return held.Version
 	}
 	return 0
 }
 
-func (d *Duty) publishStats() {
-	counts := d.counts
-	d.stats.Store(&counts)
+func (m *Manager) publishStats() {
+	counts := m.counts
+	m.stats.Store(&counts)
 }
--- a/internal/listing/simulation_test.go
+++ b/internal/listing/simulation_test.go
@@ -12,7 +12,7 @@
 	"github.com/damaskcove/damaskcove/internal/wire"
 )
 
-// simulation connects a few duties by a network that drops, delays and duplicates messages.
+// simulation connects a few managers by a network that drops, delays and duplicates messages.
 type simulation struct {
 	now      time.Time
 	latest   metastore.Listing
@@ -20,12 +20,12 @@
 	lag      int // How many versions behind the latest a read returns.
 	down     bool
 	reads    int
-	duties   []*Duty
+	managers []*Manager
 	watchers []bool
 	queue    []packet
 	posted   []func(now time.Time)
 	lost     func(p packet) bool
-	versions []uint64 // Highest version seen at each duty.
+	versions []uint64 // Highest version seen at each manager.
 }
 
 type packet struct {
@@ -65,7 +65,7 @@
 	s.history = []metastore.Listing{{}}
 	for i := range size {
 		s.watchers = append(s.watchers, i < watchers)
-		s.duties = append(s.duties, New(Options{
+		s.managers = append(s.managers, New(Options{
 			List:    s,
 			Sender:  link{s, i},
 			Watcher: func() bool { return s.watchers[i] },
@@ -83,7 +83,7 @@
 
 func (s *simulation) peersOf(i int) []fleet.Ref {
 	var out []fleet.Ref
-	for j := range s.duties {
+	for j := range s.managers {
 		if j != i {
 			out = append(out, ref(j))
 		}
@@ -106,8 +106,8 @@
 // step advances the time by one tick and delivers the messages in flight.
 func (s *simulation) step() {
 	s.now = s.now.Add(50 * time.Millisecond)
-	for _, d := range s.duties {
-		d.Tick(s.now)
+	for _, m := range s.managers {
+		m.Tick(s.now)
 	}
 	s.settle()
 }
@@ -136,7 +136,7 @@
 	if err != nil {
 		panic(err)
 	}
-	if err := s.duties[p.to].Deliver(s.now, ref(p.from), e); err != nil {
+	if err := s.managers[p.to].Deliver(s.now, ref(p.from), e); err != nil {
 		panic(err)
 	}
 }
--- a/internal/metastore/standin/platform_test.go
+++ b/internal/metastore/standin/platform_test.go
@@ -193,9 +193,9 @@
 	if got := readList(t, p); got.Version != 1 || len(got.Upstreams["stock"]) != 1 {
 		t.Fatalf("after the lag: %+v", got)
 	}
-	p.SetUpstreamState("127.0.0.1:1", fleet.UpstreamLeaving)
+	p.SetUpstreamState("127.0.0.1:1", fleet.UpstreamDraining)
 	clock.now = clock.now.Add(3 * time.Second)
-	if got := readList(t, p); got.Version != 2 || got.Upstreams["stock"][0].State != fleet.UpstreamLeaving {
+	if got := readList(t, p); got.Version != 2 || got.Upstreams["stock"][0].State != fleet.UpstreamDraining {
 		t.Fatalf("after the state changed: %+v", got)
 	}
 }
--- a/internal/node/duties.go
+++ b/internal/node/components.go
@@ -26,8 +26,8 @@
 	"github.com/damaskcove/damaskcove/internal/storekeys"
 )
 
-// createDuties creates the duties and adds them to the control loop.
-func (n *Node) createDuties(ctx context.Context) error {
+// createComponents creates the components and adds them to the control loop.
+func (n *Node) createComponents(ctx context.Context) error {
 	s := n.opts.Settings
 	keyring, err := newKeyring(s.Tickets.Keys)
 	if err != nil {
@@ -87,7 +87,7 @@
 		IdleTimeout:    s.Limits.UpstreamIdle,
 		SourceIP:       s.Listen.Outgoing,
 		Seed:           n.opts.Seed,
-	}, dispatch.Hooks{Observe: n.endpoints.Observe, Leaving: n.onUpstreamLeaving})
+	}, dispatch.Hooks{Observe: n.endpoints.Observe, Draining: n.onUpstreamDraining})
 	n.claims = claims.New(claims.Options{
 		Fleet:    s.Instance.Fleet,
 		Self:     n.self,
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// random returns an independent random source for one duty.
+// random returns an independent random source for one component.
 func (n *Node) random(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(n.opts.Seed, stream))
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,5 +1,5 @@
 // Package node assembles an entry instance: it listens, joins the fleet, runs the control
-// duties on a single goroutine, serves callers, and performs the planned stop.
+// components on a single goroutine, serves callers, and performs the planned stop.
 //
 // Guarantees:
 //   - No request is served before a configuration is active.
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// placementView is the placement for the endpoints duty. Carriers follow from the roster's
+// placementView is the placement for the endpoints manager. Carriers follow from the roster's
 // generation alone; the evaluator is chosen among the instances considered alive here.
 type placementView struct {
 	roster       *placement.Map
@@ -153,7 +153,7 @@
 	return weights
 }
 
-// onUpstreamLeaving handles an endpoint's own report that it is leaving.
-func (n *Node) onUpstreamLeaving(service fleet.Service, endpoint fleet.Endpoint) {
-	n.loop.Post(func(now time.Time) { n.endpoints.MarkLeaving(now, service, endpoint) })
+// onUpstreamDraining handles an endpoint's own report that it is draining.
+func (n *Node) onUpstreamDraining(service fleet.Service, endpoint fleet.Endpoint) {
+	n.loop.Post(func(now time.Time) { n.endpoints.MarkDraining(now, service, endpoint) })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 
 	members    *members.Manager
 	config     *config.Duty
-	listing    *listing.Duty
+	listing    *listing.Manager
 	endpoints  *endpoints.Manager
 	claims     *claims.Claims
 	dispatcher *dispatch.Dispatcher
@@ -80,7 +80,7 @@
 	stopping  atomic.Bool
 	started   time.Time
 	fatal     chan error
-	rejected  expvar.Map // Messages that duties rejected, by kind.
+	rejected  expvar.Map // Messages that components rejected, by kind.
 }
 
 // New listens on the instance's addresses and creates its components. ctx bounds the
@@ -94,7 +94,7 @@
 		n.close()
 		return nil, err
 	}
-	if err := n.createDuties(ctx); err != nil {
+	if err := n.createComponents(ctx); err != nil {
 		n.close()
 		return nil, err
 	}
@@ -202,7 +202,7 @@
 	}
 }
 
-// rejectMessage counts and logs a message that a duty rejected.
+// rejectMessage counts and logs a message that a component rejected.
 func (n *Node) rejectMessage(from fleet.Ref, kind wire.Kind, err error) {
 	n.rejected.Add(fmt.Sprint(kind), 1)
 	n.log.Debug("peer message rejected", "from", from.String(), "kind", kind, "error", err.Error())
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -117,7 +117,7 @@
 func endpointView(e endpoints.EndpointStatus) api.EndpointView {
 	state := api.StateName(e.State)
 	switch e.Listed {
-	case fleet.UpstreamLeaving:
+	case fleet.UpstreamDraining:
 		state = "leaving"
 	case fleet.UpstreamCold:
 		state = "cold"
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -113,7 +113,7 @@
 func (e *Endpoint) stateLocked(now time.Time) fleet.UpstreamState {
 	switch {
 	case !e.drainingSince.IsZero():
-		return fleet.UpstreamLeaving
+		return fleet.UpstreamDraining
 	case now.Sub(e.started) < e.spec.ColdStart:
 		return fleet.UpstreamCold
 	default:
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -157,7 +157,7 @@
 	if old := <-result; old.status != http.StatusOK || old.header.Get(HeaderDraining) != "1" {
 		t.Fatalf("running work: %+v", old)
 	}
-	if e[0].Upstream().State != fleet.UpstreamLeaving {
+	if e[0].Upstream().State != fleet.UpstreamDraining {
 		t.Fatal("the state is not leaving")
 	}
 }
