--- a/cmd/damaskctl/demo.go
+++ b/cmd/damaskctl/demo.go
@@ -51,7 +51,7 @@
 					return err
 				}
 			}
-			if !r.Kept() {
+			if !r.Passed() {
 				return fmt.Errorf("%w: see the counts above", errBroken)
 			}
 			return nil
--- a/internal/demo/added.go
+++ b/internal/demo/added.go
@@ -13,16 +13,16 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// Parameters of the comparison.
+// Parameters of the comparison of added latency.
 const (
 	addedCalls     = 300
 	addedServiceMS = 2
 	maxAddedMicros = 10_000_000
 )
 
-// added compares lookups through the fleet with direct calls of its endpoints, one of
-// each in turn, and returns the difference of the quantiles in milliseconds.
-func added(ctx context.Context, f *firm) (p50, p99 float64, err error) {
+// addedLatency alternates lookups through the fleet with direct calls of its endpoints, and
+// returns the differences of their latency quantiles in milliseconds.
+func addedLatency(ctx context.Context, f *firm) (p50, p99 float64, err error) {
 	through := hdrhistogram.New(1, maxAddedMicros, 3)
 	direct := hdrhistogram.New(1, maxAddedMicros, 3)
 	endpoints := f.fleet.Host.ServiceEndpoints(f.lookup)
--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -17,44 +17,45 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// maxOutstanding bounds the requests of one stream that are under way at once.
+// maxOutstanding is the maximum number of concurrent requests of one stream.
 const maxOutstanding = 2000
 
-// outcomeTries is how often a caller asks what came of an order that it is unsure of.
+// outcomeTries is the maximum number of outcome queries for a non-idempotent request whose
+// outcome is unknown.
 const outcomeTries = 2
 
-// ledger is what the callers were told.
-type ledger struct {
+// resultLog holds the outcomes that the callers received.
+type resultLog struct {
 	mu      sync.Mutex
-	beliefs []upstream.CallerResult
-	mixed   int
+	results []upstream.CallerResult
+	mixed   int // Answers that belong to another request.
 }
 
-func (l *ledger) add(b upstream.CallerResult, mixed bool) {
+func (l *resultLog) add(r upstream.CallerResult, mixed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.beliefs = append(l.beliefs, b)
+	l.results = append(l.results, r)
 	if mixed {
 		l.mixed++
 	}
 }
 
-// stream is one kind of request at a mean rate, with exponential gaps.
+// stream sends one kind of request at a mean rate, with exponentially distributed intervals.
 type stream struct {
-	firm    *firm
-	service fleet.Service
-	order   bool
-	rate    float64 // Requests a second.
-	random  *rand.Rand
-	ledger  *ledger
+	firm          *firm
+	service       fleet.Service
+	nonIdempotent bool
+	rate          float64 // Requests a second.
+	random        *rand.Rand
+	resultLog     *resultLog
 }
 
-// run sends requests until ctx ends and waits for their answers. Requests start when
-// they are due, however slow the answers are.
+// run sends requests until ctx ends and waits for their answers. It is open-loop: requests
+// start when they are due, however slow the answers are.
 func (s *stream) run(ctx context.Context) {
 	var wait conc.WaitGroup
 	defer wait.Wait()
-	slots := make(chan struct{}, maxOutstanding)
+	inFlight := make(chan struct{}, maxOutstanding)
 	due := time.Now()
 	for i := 0; ; i++ {
 		due = due.Add(time.Duration(s.random.ExpFloat64() / s.rate * float64(time.Second)))
@@ -65,15 +66,15 @@
 		}
 		c := s.firm.clients[s.random.IntN(len(s.firm.clients))]
 		id := fmt.Sprintf("%s-%s-%d", s.firm.name, s.service, i)
-		slots <- struct{}{}
+		inFlight <- struct{}{}
 		wait.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-inFlight }()
 			s.send(c, id)
 		})
 	}
 }
 
-// request returns the request named id.
+// request returns the request with the given ID.
 func (s *stream) request(id string) client.Request {
 	r := client.Request{
 		Service:    s.service,
@@ -82,7 +83,7 @@
 		Header:     http.Header{upstream.HeaderRequestID: {id}},
 		Idempotent: true,
 	}
-	if s.order {
+	if s.nonIdempotent {
 		r.Method = http.MethodPost
 		r.Idempotent = false
 		r.Body = []byte("order " + id)
@@ -90,17 +91,17 @@
 	return r
 }
 
-// send sends one request and notes what its caller was told.
+// send sends one request and records the outcome that its caller received.
 func (s *stream) send(c *client.Client, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.firm.deadline(s.service))
 	defer cancel()
 	r := s.request(id)
 	a, err := c.Do(ctx, r)
-	told, mixed := judge(a, err, r, id)
-	if s.order && told == upstream.OutcomeUnknown {
-		told, mixed = s.askOutcome(c, r, id, keyOf(a, err))
+	outcome, mixed := classify(a, err, r, id)
+	if s.nonIdempotent && outcome == upstream.OutcomeUnknown {
+		outcome, mixed = s.queryOutcome(c, r, id, keyOf(a, err))
 	}
-	s.ledger.add(upstream.CallerResult{ID: id, NonIdempotent: s.order, Outcome: told}, mixed)
+	s.resultLog.add(upstream.CallerResult{ID: id, NonIdempotent: s.nonIdempotent, Outcome: outcome}, mixed)
 }
 
 // keyOf returns the idempotency key that a request was sent with.
@@ -112,21 +113,22 @@
 	return a.Key
 }
 
-// askOutcome asks what came of an order whose caller is unsure.
-func (s *stream) askOutcome(c *client.Client, r client.Request, id, key string) (upstream.Outcome, bool) {
+// queryOutcome queries the outcome of a non-idempotent request whose answer left it unknown.
+func (s *stream) queryOutcome(c *client.Client, r client.Request, id, key string) (upstream.Outcome, bool) {
 	for range outcomeTries {
 		ctx, cancel := context.WithTimeout(context.Background(), s.firm.deadline(s.service))
 		a, err := c.Outcome(ctx, s.service, key)
 		cancel()
-		if told, mixed := judge(a, err, r, id); told != upstream.OutcomeUnknown {
-			return told, mixed
+		if outcome, mixed := classify(a, err, r, id); outcome != upstream.OutcomeUnknown {
+			return outcome, mixed
 		}
 	}
 	return upstream.OutcomeUnknown, false
 }
 
-// judge returns what a caller was told, and whether the answer was another request's.
-func judge(a client.Answer, err error, r client.Request, id string) (told upstream.Outcome, mixed bool) {
+// classify returns the outcome that a caller received, and whether the answer belongs to
+// another request.
+func classify(a client.Answer, err error, r client.Request, id string) (outcome upstream.Outcome, mixed bool) {
 	var none *client.NoAnswerError
 	switch {
 	case errors.As(err, &none) && none.Execution == client.ExecutionNotRun, errors.Is(err, client.ErrNoEntry):
@@ -138,7 +140,7 @@
 	}
 	switch a.Execution {
 	case client.ExecutionRan:
-		return upstream.OutcomeAnswered, !own(a, r, id)
+		return upstream.OutcomeAnswered, !matchesRequest(a, r, id)
 	case client.ExecutionNotRun:
 		return upstream.OutcomeNotRun, false
 	case client.ExecutionUnknown:
@@ -148,8 +150,9 @@
 	}
 }
 
-// own reports whether an answer is whole and of the request named id.
-func own(a client.Answer, r client.Request, id string) bool {
+// matchesRequest reports whether an answer is complete and belongs to the request with the
+// given ID.
+func matchesRequest(a client.Answer, r client.Request, id string) bool {
 	if a.Status != http.StatusOK {
 		return a.Header.Get(upstream.HeaderRequestID) == id
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -16,40 +16,40 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// MinDuration is the shortest demo that has room for its steps.
+// MinDuration is the shortest duration in which all steps of the scenario fit.
 const MinDuration = 15 * time.Second
 
 // readyTimeout bounds the start of the fleets.
 const readyTimeout = time.Minute
 
-// settleTimeout bounds the wait for what is under way at the end.
+// settleTimeout bounds the wait for planned stops still running when the traffic has ended.
 const settleTimeout = 30 * time.Second
 
-// ErrDuration says that the demo was asked to be too short.
+// ErrDuration means that the requested duration is under MinDuration.
 var ErrDuration = errors.New("duration too short")
 
 // Options are the parameters of the demo.
 type Options struct {
 	Duration time.Duration
 	Seed     uint64
-	Progress io.Writer    // Lines about what happens.
-	Log      *slog.Logger // Of the instances.
+	Progress io.Writer    // Receives a line for each step; nil discards them.
+	Log      *slog.Logger // Log of the instances; nil discards it.
 }
 
-// run is one demo under way.
+// run is the state of one running demo.
 type run struct {
-	opts   Options
-	begin  time.Time
-	end    time.Time
-	firms  []*firm
-	ledger *ledger
-	scenes []*scenario
-	looks  []*revisions
+	opts      Options
+	begin     time.Time
+	end       time.Time
+	firms     []*firm
+	resultLog *resultLog
+	scenarios []*scenario
+	monitors  []*revisionMonitor
 
 	mu sync.Mutex
 }
 
-// Run runs the demo and returns what it counted.
+// Run runs the demo and returns its report.
 func Run(ctx context.Context, o Options) (Report, error) {
 	if o.Duration < MinDuration {
 		return Report{}, fmt.Errorf("%w: %s, at least %s", ErrDuration, o.Duration, MinDuration)
@@ -57,16 +57,16 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	r := &run{opts: o, ledger: &ledger{}}
+	r := &run{opts: o, resultLog: &resultLog{}}
 	defer r.close()
 	if err := r.start(ctx); err != nil {
 		return Report{}, err
 	}
 	report := Report{Seed: o.Seed, DetectionMS: make(map[string]float64)}
-	if err := r.compare(ctx, &report); err != nil {
+	if err := r.measureAdded(ctx, &report); err != nil {
 		return Report{}, err
 	}
-	if err := r.play(ctx); err != nil {
+	if err := r.runTraffic(ctx); err != nil {
 		return Report{}, err
 	}
 	r.count(&report)
@@ -82,7 +82,7 @@
 	_, _ = fmt.Fprintf(r.opts.Progress, format+"\n", values...)
 }
 
-// start runs the fleets of all firms until they are ready.
+// start starts the fleets of all firms and waits until they are ready.
 func (r *run) start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -108,10 +108,10 @@
 	}
 }
 
-// compare measures what the fleet adds to a lookup, before any fault.
-func (r *run) compare(ctx context.Context, report *Report) error {
+// measureAdded measures the latency that the fleet adds to a lookup, before any fault.
+func (r *run) measureAdded(ctx context.Context, report *Report) error {
 	for _, f := range r.firms {
-		p50, p99, err := added(ctx, f)
+		p50, p99, err := addedLatency(ctx, f)
 		if err != nil {
 			return err
 		}
@@ -121,109 +121,112 @@
 	return nil
 }
 
-// play runs callers and scenarios until the duration is over and everything is answered.
-func (r *run) play(ctx context.Context) error {
+// runTraffic runs callers and scenarios until the duration is over and every request has
+// ended.
+func (r *run) runTraffic(ctx context.Context) error {
 	r.begin = time.Now()
-	callers, stopCallers := context.WithTimeout(ctx, r.opts.Duration)
+	callersCtx, stopCallers := context.WithTimeout(ctx, r.opts.Duration)
 	defer stopCallers()
-	watchers, stopWatchers := context.WithCancel(ctx)
-	defer stopWatchers()
+	monitorCtx, stopMonitors := context.WithCancel(ctx)
+	defer stopMonitors()
 	background := pool.New()
 	traffic := pool.New()
 	events := pool.New().WithErrors()
 	for i, f := range r.firms {
-		look := newRevisions(f)
-		scene := newScenario(f, look, r.opts.Duration, r.progress)
-		r.looks = append(r.looks, look)
-		r.scenes = append(r.scenes, scene)
-		background.Go(func() { look.run(watchers) })
+		monitor := newRevisionMonitor(f)
+		scenario := newScenario(f, monitor, r.opts.Duration, r.progress)
+		r.monitors = append(r.monitors, monitor)
+		r.scenarios = append(r.scenarios, scenario)
+		background.Go(func() { monitor.run(monitorCtx) })
 		for j, s := range r.streams(f) {
 			s.random = rand.New(rand.NewPCG(r.opts.Seed, uint64(1000*(i+1)+j)))
-			traffic.Go(func() { s.run(callers) })
+			traffic.Go(func() { s.run(callersCtx) })
 		}
-		events.Go(func() error { return scene.run(ctx) })
+		events.Go(func() error { return scenario.run(ctx) })
 	}
 	err := events.Wait()
 	traffic.Wait()
 	r.end = time.Now()
-	settle, cancel := context.WithTimeout(ctx, settleTimeout)
+	settleCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	if err == nil {
-		err = r.finish(settle)
+		err = r.waitPlannedStops(settleCtx)
 	}
-	stopWatchers()
+	stopMonitors()
 	background.Wait()
 	return err
 }
 
-func (r *run) finish(ctx context.Context) error {
-	for _, s := range r.scenes {
-		if err := s.finish(ctx); err != nil {
+// waitPlannedStops waits for the planned stops of all firms.
+func (r *run) waitPlannedStops(ctx context.Context) error {
+	for _, s := range r.scenarios {
+		if err := s.waitPlannedStop(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// streams returns the requests of a firm's callers.
+// streams returns the request streams of a firm's callers.
 func (r *run) streams(f *firm) []*stream {
-	streams := []*stream{{firm: f, service: f.lookup, rate: f.lookupsPerS, ledger: r.ledger}}
-	for _, s := range f.orderService {
-		streams = append(streams, &stream{firm: f, service: s, order: true, rate: f.ordersPerS, ledger: r.ledger})
+	streams := []*stream{{firm: f, service: f.lookup, rate: f.lookupsPerSecond, resultLog: r.resultLog}}
+	for _, s := range f.orderServices {
+		streams = append(streams, &stream{firm: f, service: s, nonIdempotent: true, rate: f.ordersPerSecond, resultLog: r.resultLog})
 	}
 	return streams
 }
 
-// count fills the report from what callers were told and upstreams recorded.
+// count fills the report from the outcomes that callers received and the records of the
+// upstreams.
 func (r *run) count(report *Report) {
 	report.Seconds = time.Since(r.begin).Seconds()
-	report.MixedAnswers = r.ledger.mixed
+	report.MixedAnswers = r.resultLog.mixed
 	for i, f := range r.firms {
 		r.countRequests(report, f)
-		r.countService(report, f, r.scenes[i])
+		r.countService(report, f, r.scenarios[i])
 		report.CutOffByStop += f.watch.CutOffs()
-		report.ConfigReverts += r.looks[i].counted()
-		report.ConfigInForceMS = max(report.ConfigInForceMS, milliseconds(r.scenes[i].inForce))
+		report.ConfigReverts += r.monitors[i].revertCount()
+		report.ConfigActiveMS = max(report.ConfigActiveMS, milliseconds(r.scenarios[i].maxActivation))
 		report.StoreCalls += f.fleet.Platform.Counts().Total
 	}
 }
 
 func (r *run) countRequests(report *Report, f *firm) {
 	recorder := f.fleet.Host.Recorder()
-	audit := recorder.Audit(r.beliefsOf(f))
+	audit := recorder.Audit(r.resultsOf(f))
 	report.Requests += audit.Requests
 	report.Answered += audit.Answered
 	report.RefusedNotRun += audit.NotRun
 	report.Unknown += audit.Unknown
 	report.Lost += audit.Lost
-	report.Doubled += audit.Duplicated
+	report.Duplicated += audit.Duplicated
 	report.FalseNotRun += audit.FalseNotRun
-	report.Broken = append(report.Broken, audit.Violations...)
+	report.Violations = append(report.Violations, audit.Violations...)
 	report.UpstreamStarts += recorder.Summary().Starts
 }
 
-// beliefsOf returns the beliefs of one firm's callers, whose IDs begin with its name.
-func (r *run) beliefsOf(f *firm) []upstream.CallerResult {
-	var own []upstream.CallerResult
-	for _, b := range r.ledger.beliefs {
-		if strings.HasPrefix(b.ID, string(f.name)) {
-			own = append(own, b)
+// resultsOf returns the results of one firm's callers, whose request IDs begin with its name.
+func (r *run) resultsOf(f *firm) []upstream.CallerResult {
+	var results []upstream.CallerResult
+	for _, result := range r.resultLog.results {
+		if strings.HasPrefix(result.ID, string(f.name)) {
+			results = append(results, result)
 		}
 	}
-	return own
+	return results
 }
 
 func (r *run) countService(report *Report, f *firm, s *scenario) {
-	took, out := detection(f.fleet.Host.ServiceEndpoints(f.lookup), s.gray, s.grayAt, s.grayUntil)
+	took, detected := detection(f.fleet.Host.ServiceEndpoints(f.lookup), s.gray, s.grayAt, s.grayUntil)
 	report.DetectionMS[string(f.name)] = -1
-	if out {
+	if detected {
 		report.DetectionMS[string(f.name)] = milliseconds(took)
 	}
-	report.WorkToLeaving += int(s.leaving.Stats().Received - s.leavingCount)
+	report.WorkToDraining += int(s.draining.Stats().Received - s.drainingReceived)
 	for _, t := range f.templates.Services {
-		found := examine(f.fleet.Host.ServiceEndpoints(t.Name), s.faulty, t.FloorSlots, r.begin, r.end)
-		report.FloorBreaches += found.breaches
-		report.FalseEjections += len(found.endpoints)
+		findings := examineWindows(f.fleet.Host.ServiceEndpoints(t.Name), s.excluded, t.FloorSlots, r.begin, r.end)
+		report.FloorViolations += findings.floorViolations
+		report.FalseEjections += len(findings.endpoints)
 	}
 }
 
--- a/internal/demo/doc.go
+++ b/internal/demo/doc.go
@@ -1,7 +1,7 @@
-// Package demo runs the fleets of two firms in one process, injects the failures that
-// they fear, and counts every promise.
+// Package demo runs the fleets of two firms in one process, injects failures, and counts
+// violations of each guarantee.
 //
-// Counts are taken by the callers and by the upstream stand-ins, never by the fleet
-// itself. Times are reported and not judged, so that the verdict is the same on a slow
-// machine.
+// Callers and upstream stand-ins take the counts, never the fleet itself. Times are only
+// reported: they don't decide whether the demo passes, so that its result doesn't depend
+// on the speed of the machine.
 package demo
--- a/internal/demo/firm.go
+++ b/internal/demo/firm.go
@@ -28,28 +28,28 @@
 	changeTimeout    = 20 * time.Second
 )
 
-// plan says what the demo does with one firm.
+// plan holds the parameters of one firm's fleet, traffic and gray fault.
 type plan struct {
-	name         examples.Firm
-	zones        []string
-	region       string
-	lookup       fleet.Service   // Service whose endpoint turns gray.
-	grayFault    upstream.Faults // What it turns to.
-	lookupsPerS  float64
-	ordersPerS   float64 // Of each order service.
-	orderService []fleet.Service
+	name             examples.Firm
+	zones            []string
+	region           string
+	lookup           fleet.Service   // Idempotent service, one endpoint of which gets grayFault.
+	grayFault        upstream.Faults // Injected fault; health checks still pass.
+	lookupsPerSecond float64
+	ordersPerSecond  float64         // To each order service.
+	orderServices    []fleet.Service // Services with non-idempotent requests.
 }
 
 var plans = []plan{
 	{
 		name: examples.BunyaRidge, zones: examples.BunyaRidgeZones, region: examples.BunyaRidgeRegion,
 		lookup: "stock", grayFault: upstream.Faults{FailShare: 0.5, Health: upstream.HealthUp},
-		lookupsPerS: 300, ordersPerS: 40, orderService: []fleet.Service{"drums", "pickups"},
+		lookupsPerSecond: 300, ordersPerSecond: 40, orderServices: []fleet.Service{"drums", "pickups"},
 	},
 	{
 		name: examples.Qalqan, zones: examples.QalqanZones, region: examples.QalqanRegion,
 		lookup: "fabrics", grayFault: upstream.Faults{SlowFactor: 10, Health: upstream.HealthUp},
-		lookupsPerS: 200, ordersPerS: 40, orderService: []fleet.Service{"cuts", "fittings"},
+		lookupsPerSecond: 200, ordersPerSecond: 40, orderServices: []fleet.Service{"cuts", "fittings"},
 	},
 }
 
@@ -73,7 +73,7 @@
 	random    *rand.Rand
 }
 
-// startFirm runs a firm's fleet until it is ready.
+// startFirm starts a firm's fleet and waits until it is ready.
 func startFirm(ctx context.Context, p plan, seed uint64, log *slog.Logger) (*firm, error) {
 	set, err := examples.Templates(p.name)
 	if err != nil {
@@ -142,7 +142,8 @@
 	return nil
 }
 
-// spec describes endpoint i of a service. Orders are what a route does not call idempotent.
+// spec describes endpoint i of a service. Paths of routes that are not idempotent are
+// recorded as non-idempotent.
 func (f *firm) spec(s rollout.ServiceTemplate, i, slots int) upstream.Spec {
 	spec := upstream.Spec{
 		Service: s.Name,
@@ -158,7 +159,7 @@
 	return spec
 }
 
-// newClients makes callers in every zone, which share the watched connections.
+// newClients creates callers in every zone, which share the connections that watch observes.
 func (f *firm) newClients(seed uint64) error {
 	shared := &http.Client{
 		Transport:     f.watch.Wrap(client.NewHTTP().Transport),
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// accountsForAll returns the client accounts that may call every service of the firm.
+// accountsForAll returns the client accounts that are allowed to call every service.
 func (f *firm) accountsForAll() []fleet.Account {
 	var accounts []fleet.Account
 	for _, a := range f.templates.Accounts {
@@ -194,7 +195,7 @@
 	return accounts
 }
 
-// orderPath returns the path of a service's first route.
+// path returns the path of a service's first route.
 func (f *firm) path(service fleet.Service) string {
 	for _, s := range f.templates.Services {
 		if s.Name == service {
@@ -204,7 +205,8 @@
 	return "/"
 }
 
-// deadline returns the time that callers of a service wait, a little over the fleet's own.
+// deadline returns how long callers of a service wait: a second more than the service's
+// deadline in the fleet.
 func (f *firm) deadline(service fleet.Service) time.Duration {
 	for _, s := range f.templates.Services {
 		if s.Name == service {
--- a/internal/demo/revisions.go
+++ b/internal/demo/revisions.go
@@ -13,26 +13,27 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// Times of the look at revisions.
+// Interval of the polls, and timeout of one request.
 const (
 	revisionPoll    = 25 * time.Millisecond
 	revisionTimeout = 2 * time.Second
 )
 
-// revisions asks every instance, as a caller would, which configuration it answers from.
-type revisions struct {
+// revisionMonitor polls the revision of the active configuration of every instance through
+// discovery, as a caller does.
+type revisionMonitor struct {
 	firm    *firm
 	service fleet.Service
 	account fleet.Account
 	http    *http.Client
 
 	mu      sync.Mutex
-	latest  map[string]fleet.Revision // By callers' address.
-	reverts int
+	latest  map[string]fleet.Revision // By entry address.
+	reverts int                       // Answers with an earlier revision than the same instance had before.
 }
 
-func newRevisions(f *firm) *revisions {
-	return &revisions{
+func newRevisionMonitor(f *firm) *revisionMonitor {
+	return &revisionMonitor{
 		firm:    f,
 		service: f.lookup,
 		account: f.accountsForAll()[0],
@@ -41,11 +42,11 @@
 	}
 }
 
-// run asks until ctx ends.
-func (r *revisions) run(ctx context.Context) {
+// run polls until ctx ends.
+func (r *revisionMonitor) run(ctx context.Context) {
 	for {
 		for _, address := range r.firm.fleet.Entries() {
-			r.ask(ctx, address)
+			r.poll(ctx, address)
 		}
 		select {
 		case <-ctx.Done():
@@ -55,7 +56,7 @@
 	}
 }
 
-func (r *revisions) ask(ctx context.Context, address string) {
+func (r *revisionMonitor) poll(ctx context.Context, address string) {
 	query := url.Values{client.ParamService: {string(r.service)}, client.ParamAccount: {string(r.account)}}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+client.DiscoverPath+"?"+query.Encode(), nil)
 	if err != nil {
@@ -70,11 +71,11 @@
 	if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&d) != nil {
 		return
 	}
-	r.note(address, d.Revision)
+	r.record(address, d.Revision)
 }
 
-// note counts an instance that answers from an earlier configuration than before.
-func (r *revisions) note(address string, revision fleet.Revision) {
+// record stores the revision of an instance, or counts a revert if it is earlier than before.
+func (r *revisionMonitor) record(address string, revision fleet.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision < r.latest[address] {
@@ -84,8 +85,9 @@
 	r.latest[address] = revision
 }
 
-// everywhere reports whether each instance that runs answers from revision or a later one.
-func (r *revisions) everywhere(revision fleet.Revision) bool {
+// activeEverywhere reports whether every running instance uses the given revision or a later
+// one.
+func (r *revisionMonitor) activeEverywhere(revision fleet.Revision) bool {
 	entries := r.firm.fleet.Entries()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,19 +99,20 @@
 	return len(entries) > 0
 }
 
-// await waits until revision is in force everywhere and returns the time since accepted.
-func (r *revisions) await(ctx context.Context, revision fleet.Revision, accepted time.Time) (time.Duration, error) {
-	for !r.everywhere(revision) {
+// waitActive waits until revision is active on every instance and returns the time since
+// accepted.
+func (r *revisionMonitor) waitActive(ctx context.Context, revision fleet.Revision, accepted time.Time) (time.Duration, error) {
+	for !r.activeEverywhere(revision) {
 		select {
 		case <-ctx.Done():
-			return 0, fmt.Errorf("firm %s: revision %d is not in force everywhere: %w", r.firm.name, revision, ctx.Err())
+			return 0, fmt.Errorf("firm %s: revision %d is not active on every instance: %w", r.firm.name, revision, ctx.Err())
 		case <-time.After(revisionPoll):
 		}
 	}
 	return time.Since(accepted), nil
 }
 
-func (r *revisions) counted() int {
+func (r *revisionMonitor) revertCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reverts
--- a/internal/demo/windows.go
+++ b/internal/demo/windows.go
@@ -7,90 +7,90 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// startsPerEndpoint is how many starts per endpoint a window must hold before an
-// endpoint without a start counts as out of service.
+// startsPerEndpoint is the mean number of starts per endpoint that a window must contain, so
+// that an endpoint without a start in it counts as out of service.
 const startsPerEndpoint = 20
 
-// windowStep is the least length of a window.
+// windowStep is the minimum length of a window, and the step by which it grows.
 const windowStep = time.Second
 
-// starved is what the windows of one service showed.
-type starved struct {
-	breaches  int
-	endpoints map[fleet.Endpoint]bool // Healthy ones that got no work in some window.
+// windowFindings are the results of the windows of one service.
+type windowFindings struct {
+	floorViolations int                     // Windows in which too few healthy slots got work.
+	endpoints       map[fleet.Endpoint]bool // Healthy endpoints without a start in some window.
 }
 
-// examine looks at the starts of a service's endpoints, in windows from start to end
-// that are long enough for each endpoint in service to have started work. Endpoints in
-// faulty are left out: they had a fault or left during the demo.
-func examine(endpoints []*upstream.Endpoint, faulty map[fleet.Endpoint]bool, floor int, start, end time.Time) starved {
-	found := starved{endpoints: make(map[fleet.Endpoint]bool)}
-	for a := start; a.Before(end); {
-		b := windowEnd(endpoints, a, end)
-		if b.IsZero() {
-			return found
+// examineWindows checks the starts of a service's endpoints in windows from start to end. Each
+// window is long enough for every endpoint in service to start work. It ignores excluded
+// endpoints, which had a fault or drained during the demo.
+func examineWindows(endpoints []*upstream.Endpoint, excluded map[fleet.Endpoint]bool, floor int, start, end time.Time) windowFindings {
+	findings := windowFindings{endpoints: make(map[fleet.Endpoint]bool)}
+	for begin := start; begin.Before(end); {
+		finish := windowEnd(endpoints, begin, end)
+		if finish.IsZero() {
+			return findings
 		}
-		found.window(endpoints, faulty, floor, a, b)
-		a = b
+		findings.addWindow(endpoints, excluded, floor, begin, finish)
+		begin = finish
 	}
-	return found
+	return findings
 }
 
-// windowEnd returns the end of the window that begins at a, or zero when the demo ends first.
-func windowEnd(endpoints []*upstream.Endpoint, a, end time.Time) time.Time {
-	for b := a.Add(windowStep); !b.After(end); b = b.Add(windowStep) {
+// windowEnd returns the end of the window that starts at begin, or zero if the demo ends first.
+func windowEnd(endpoints []*upstream.Endpoint, begin, end time.Time) time.Time {
+	for finish := begin.Add(windowStep); !finish.After(end); finish = finish.Add(windowStep) {
 		total := 0
 		for _, e := range endpoints {
-			total += e.StartsBetween(a, b)
+			total += e.StartsBetween(begin, finish)
 		}
 		if total >= startsPerEndpoint*len(endpoints) {
-			return b
+			return finish
 		}
 	}
 	return time.Time{}
 }
 
-// window counts a breach when the healthy slots that got work are below the floor.
-func (s *starved) window(endpoints []*upstream.Endpoint, faulty map[fleet.Endpoint]bool, floor int, a, b time.Time) {
+// addWindow counts a violation if the healthy slots that got work are below the floor.
+func (s *windowFindings) addWindow(endpoints []*upstream.Endpoint, excluded map[fleet.Endpoint]bool, floor int, begin, finish time.Time) {
 	inService := 0
 	healthy := 0
 	for _, e := range endpoints {
-		if faulty[e.Addr()] {
+		if excluded[e.Addr()] {
 			continue
 		}
 		slots := e.Upstream().Slots
 		healthy += slots
-		if e.StartsBetween(a, b) > 0 {
+		if e.StartsBetween(begin, finish) > 0 {
 			inService += slots
 			continue
 		}
 		s.endpoints[e.Addr()] = true
 	}
 	if inService < min(floor, healthy) {
-		s.breaches++
+		s.floorViolations++
 	}
 }
 
-// Parameters of detection.
+// A gray endpoint is detected when, for detectionWindow, it gets less than detectionShare of
+// the starts that each endpoint would get in equal shares.
 const (
 	detectionStep   = 50 * time.Millisecond
 	detectionWindow = time.Second
-	detectionShare  = 0.1 // Of an equal share of the service's starts.
+	detectionShare  = 0.1 // Of an equal share.
 )
 
-// detection returns the time from a fault until its endpoint gets, for a second, less
-// than detectionShare of an equal share of the service's work. It is false when that
-// does not happen before the fault ends.
+// detection returns the time from the onset of a fault until its endpoint is detected, or
+// false if the fault ends first.
 func detection(endpoints []*upstream.Endpoint, gray *upstream.Endpoint, from, until time.Time) (time.Duration, bool) {
-	for a := from; !a.Add(detectionWindow).After(until); a = a.Add(detectionStep) {
-		b := a.Add(detectionWindow)
+	for begin := from; !begin.Add(detectionWindow).After(until); begin = begin.Add(detectionStep) {
+		finish := begin.Add(detectionWindow)
 		total := 0
 		for _, e := range endpoints {
-			total += e.StartsBetween(a, b)
+			total += e.StartsBetween(begin, finish)
 		}
-		equal := float64(total) / float64(len(endpoints))
-		if float64(gray.StartsBetween(a, b)) < detectionShare*equal {
-			return a.Sub(from), true
+		equalShare := float64(total) / float64(len(endpoints))
+		if float64(gray.StartsBetween(begin, finish)) < detectionShare*equalShare {
+			return begin.Sub(from), true
 		}
 	}
 	return 0, false
