--- a/cmd/damaskctl/standin_test.go
+++ b/cmd/damaskctl/standin_test.go
@@ -145,7 +145,7 @@
 
 func TestLoadPrintsATable(t *testing.T) {
 	got := ctl(context.Background(), "load", "--direct", freeAddress(t), "--account", "a", "--path", "/", "--duration", "50ms", "--warmup", "0s")
-	got.want(t, exitDone, "from the drawn start", "no-answer")
+	got.want(t, exitDone, "from the scheduled start", "no-answer")
 }
 
 func TestSettingsOfTheLocalStandinsAreValid(t *testing.T) {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -36,7 +36,7 @@
 	return h, string(e.Addr())
 }
 
-func TestDirectCountsWhatTheUpstreamSaw(t *testing.T) {
+func TestDirectCountsMatchTheUpstream(t *testing.T) {
 	h, address := newHost(t, upstream.Spec{Slots: 1000, Median: 1, Spread: -1, ConnectTime: -1})
 	o := options()
 	o.Direct = []string{address}
@@ -52,10 +52,10 @@
 	}
 }
 
-func TestTimesCountFromTheDrawnStart(t *testing.T) {
+func TestLatencyCountsFromTheScheduledStart(t *testing.T) {
 	r := newRecorder()
-	due := time.Unix(0, 0)
-	r.add(outcome{due: due, sent: due.Add(time.Second), done: due.Add(3 * time.Second), answered: true, code: "1000"})
+	scheduled := time.Unix(0, 0)
+	r.add(outcome{scheduled: scheduled, sent: scheduled.Add(time.Second), done: scheduled.Add(3 * time.Second), answered: true, code: "1000"})
 	got := r.finish(pathFleet, 1, time.Second)
 	for name, pair := range map[string][2]float64{
 		"corrected":   {got.Corrected.P50, 3000},
@@ -68,39 +68,39 @@
 	}
 }
 
-func TestStartsAreDrawnFromTheSeed(t *testing.T) {
-	gaps := func(seed uint64) time.Duration {
+func TestScheduleDependsOnTheSeed(t *testing.T) {
+	sumOfIntervals := func(seed uint64) time.Duration {
 		g := &generator{options: Options{Rate: 1000}, random: rand.New(rand.NewPCG(seed, seed))}
 		var sum time.Duration
 		for range 10_000 {
-			sum += g.gap()
+			sum += g.nextInterval()
 		}
 		return sum
 	}
-	first, again, other := gaps(1), gaps(1), gaps(2)
+	first, again, other := sumOfIntervals(1), sumOfIntervals(1), sumOfIntervals(2)
 	if first != again || first == other {
-		t.Fatal("the seed does not decide the gaps")
+		t.Fatal("the intervals do not depend on the seed alone")
 	}
 	if mean := first / 10_000; mean < 970*time.Microsecond || mean > 1030*time.Microsecond {
-		t.Fatalf("mean gap %v at 1000 a second", mean)
+		t.Fatalf("mean interval %v at 1000 requests per second", mean)
 	}
 }
 
-// heldSender answers once it is let go.
-type heldSender chan struct{}
+// blockingSender answers once the channel is closed.
+type blockingSender chan struct{}
 
-func (h heldSender) send(context.Context, int, string) outcome {
+func (h blockingSender) send(context.Context, int, string) outcome {
 	<-h
 	return outcome{answered: true, code: codeNone}
 }
 
-func TestTooManyUnderWayAreCountedAsNotSent(t *testing.T) {
-	hold := make(heldSender)
-	g := &generator{options: options(), sender: hold, recorder: newRecorder(), free: make(chan struct{}, 3)}
+func TestRequestsOverOutstandingAreNotSent(t *testing.T) {
+	blocking := make(blockingSender)
+	g := &generator{options: options(), sender: blocking, recorder: newRecorder(), inFlight: make(chan struct{}, 3)}
 	g.random = rand.New(rand.NewPCG(1, 1))
 	start := time.Now()
 	g.run(context.Background(), start, start, start.Add(g.options.Duration))
-	close(hold)
+	close(blocking)
 	g.requests.Wait()
 	report := g.recorder.finish(pathDirect, g.options.Rate, g.options.Duration)
 	if report.Answered != 3 || report.NotSent == 0 || report.Requests != report.Answered+report.NotSent {
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestMixedAnswersAreSeen(t *testing.T) {
+func TestMixedAnswersAreCounted(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(upstream.HeaderRequestID, "another")
 	}))
@@ -144,7 +144,7 @@
 		t.Fatalf("%+v %v", report, err)
 	}
 	if discoveries.Load() != 2 {
-		t.Fatalf("%d discoveries of 2 accounts", discoveries.Load())
+		t.Fatalf("%d discoveries for 2 accounts", discoveries.Load())
 	}
 	var table bytes.Buffer
 	if err := report.WriteTable(&table); err != nil || !strings.Contains(table.String(), "code 1000") {
@@ -152,12 +152,12 @@
 	}
 }
 
-func TestFaultsOfOptionsAreListedAtOnce(t *testing.T) {
+func TestValidateListsAllInvalidOptions(t *testing.T) {
 	_, err := Run(context.Background(), Options{Entries: []string{"localhost:1"}, Method: "G T", Path: "stock", Keyed: true, Unkeyed: true, Body: -1})
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid options were accepted")
 	}
 	if n := len(strings.Split(err.Error(), "\n")); n != 11 {
-		t.Fatalf("%d faults:\n%v", n, err)
+		t.Fatalf("%d invalid options:\n%v", n, err)
 	}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -12,14 +12,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of the histograms.
+// Range (in microseconds) and precision of the histograms.
 const (
-	lowestMicros  = 1
-	highestMicros = 600_000_000
-	digits        = 3
+	minMicros         = 1
+	maxMicros         = 600_000_000
+	significantDigits = 3
 )
 
-// Quantiles are times of answers in milliseconds.
+// Quantiles summarizes durations, in milliseconds.
 type Quantiles struct {
 	Mean float64 `json:"mean_ms"`
 	P50  float64 `json:"p50_ms"`
@@ -29,51 +29,51 @@
 	Max  float64 `json:"max_ms"`
 }
 
-// Report is what a run measured.
+// Report is the result of a run.
 type Report struct {
-	Path         string         `json:"path"` // "fleet" or "direct".
-	Rate         float64        `json:"rate"` // Asked for, per second.
-	Achieved     float64        `json:"achieved"`
+	Path         string         `json:"path"`     // "fleet" or "direct".
+	Rate         float64        `json:"rate"`     // Target rate, in requests per second.
+	Achieved     float64        `json:"achieved"` // Requests sent per second.
 	Seconds      float64        `json:"seconds"`
 	Requests     int            `json:"requests"`
 	Answered     int            `json:"answered"`
-	NotRun       int            `json:"refused_not_run"`
-	Unknown      int            `json:"unknown"`
-	NotSent      int            `json:"not_sent"` // Too many were under way.
+	NotRun       int            `json:"refused_not_run"` // Rejected without being executed.
+	Unknown      int            `json:"unknown"`         // May have been executed.
+	NotSent      int            `json:"not_sent"`        // Over Options.Outstanding.
 	ServerErrors int            `json:"server_errors"`
-	Mixed        int            `json:"mixed_answers"`
+	Mixed        int            `json:"mixed_answers"` // Answers that belong to another request.
 	Codes        map[string]int `json:"codes"`
-	Corrected    Quantiles      `json:"corrected"`   // From the drawn start.
-	Uncorrected  Quantiles      `json:"uncorrected"` // From the real start.
-	StartDelay   Quantiles      `json:"start_delay"` // From the drawn to the real start: the generator's own share.
+	Corrected    Quantiles      `json:"corrected"`   // Latency from the scheduled start.
+	Uncorrected  Quantiles      `json:"uncorrected"` // Latency from the actual start.
+	StartDelay   Quantiles      `json:"start_delay"` // From the scheduled to the actual start: the delay caused by the generator.
 }
 
-// outcome is how one request ended.
+// outcome is the result of one request.
 type outcome struct {
-	due, sent, done time.Time
-	code            string
-	answered        bool
-	notRun          bool
-	serverError     bool
-	mixed           bool
+	scheduled, sent, done time.Time // Scheduled start, actual start and end.
+	code                  string
+	answered              bool
+	notRun                bool
+	serverError           bool
+	mixed                 bool
 }
 
-// recorder gathers outcomes. It is safe for concurrent use.
+// recorder aggregates outcomes into a report. It is safe for concurrent use.
 type recorder struct {
-	mu        sync.Mutex
-	report    Report
-	corrected *hdrhistogram.Histogram
-	plain     *hdrhistogram.Histogram
-	delay     *hdrhistogram.Histogram
+	mu          sync.Mutex
+	report      Report
+	corrected   *hdrhistogram.Histogram
+	uncorrected *hdrhistogram.Histogram
+	startDelay  *hdrhistogram.Histogram
 }
 
 func newRecorder() *recorder {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(lowestMicros, highestMicros, digits) }
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(minMicros, maxMicros, significantDigits) }
 	return &recorder{
-		report:    Report{Codes: make(map[string]int)},
-		corrected: histogram(),
-		plain:     histogram(),
-		delay:     histogram(),
+		report:      Report{Codes: make(map[string]int)},
+		corrected:   histogram(),
+		uncorrected: histogram(),
+		startDelay:  histogram(),
 	}
 }
 
@@ -84,18 +84,18 @@
 	r.report.NotSent++
 }
 
-// add counts an outcome. Times are kept of answers only.
+// add counts an outcome. Only answered requests have their latency recorded.
 func (r *recorder) add(o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Requests++
 	r.report.Codes[o.code]++
-	record(r.delay, o.sent.Sub(o.due))
+	record(r.startDelay, o.sent.Sub(o.scheduled))
 	switch {
 	case o.answered:
 		r.report.Answered++
-		record(r.corrected, o.done.Sub(o.due))
-		record(r.plain, o.done.Sub(o.sent))
+		record(r.corrected, o.done.Sub(o.scheduled))
+		record(r.uncorrected, o.done.Sub(o.sent))
 	case o.notRun:
 		r.report.NotRun++
 	default:
@@ -110,20 +110,20 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
-func (r *recorder) finish(path string, rate float64, took time.Duration) Report {
+func (r *recorder) finish(path string, rate float64, duration time.Duration) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.report
 	out.Path = path
 	out.Rate = rate
-	out.Seconds = took.Seconds()
-	out.Achieved = float64(out.Requests-out.NotSent) / took.Seconds()
+	out.Seconds = duration.Seconds()
+	out.Achieved = float64(out.Requests-out.NotSent) / duration.Seconds()
 	out.Corrected = quantiles(r.corrected)
-	out.Uncorrected = quantiles(r.plain)
-	out.StartDelay = quantiles(r.delay)
+	out.Uncorrected = quantiles(r.uncorrected)
+	out.StartDelay = quantiles(r.startDelay)
 	return out
 }
 
@@ -141,19 +141,19 @@
 
 // WriteTable writes the report as a table.
 func (r Report) WriteTable(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintf(t, "path\t%s\nrate asked for\t%.1f/s\nrate sent\t%.1f/s over %.1f s\n", r.Path, r.Rate, r.Achieved, r.Seconds)
-	_, _ = fmt.Fprintf(t, "requests\t%d\nanswered\t%d\nrefused, not run\t%d\nunknown\t%d\nnot sent\t%d\nserver errors\t%d\nmixed answers\t%d\n",
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	_, _ = fmt.Fprintf(table, "path\t%s\ntarget rate\t%.1f/s\nsent\t%.1f/s over %.1f s\n", r.Path, r.Rate, r.Achieved, r.Seconds)
+	_, _ = fmt.Fprintf(table, "requests\t%d\nanswered\t%d\nrejected, not run\t%d\nunknown\t%d\nnot sent\t%d\nserver errors\t%d\nmixed answers\t%d\n",
 		r.Requests, r.Answered, r.NotRun, r.Unknown, r.NotSent, r.ServerErrors, r.Mixed)
 	for _, code := range slices.Sorted(maps.Keys(r.Codes)) {
-		_, _ = fmt.Fprintf(t, "code %s\t%d\n", code, r.Codes[code])
+		_, _ = fmt.Fprintf(table, "code %s\t%d\n", code, r.Codes[code])
 	}
-	_, _ = fmt.Fprintln(t, "\ntime of answers, ms\tmean\tp50\tp90\tp99\tp99.9\tmax")
+	_, _ = fmt.Fprintln(table, "\nlatency, ms\tmean\tp50\tp90\tp99\tp99.9\tmax")
 	for _, row := range []struct {
 		name string
 		q    Quantiles
-	}{{"from the drawn start", r.Corrected}, {"from the real start", r.Uncorrected}, {"delay of the start", r.StartDelay}} {
-		_, _ = fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\n", row.name, row.q.Mean, row.q.P50, row.q.P90, row.q.P99, row.q.P999, row.q.Max)
+	}{{"from the scheduled start", r.Corrected}, {"from the actual start", r.Uncorrected}, {"start delay", r.StartDelay}} {
+		_, _ = fmt.Fprintf(table, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\n", row.name, row.q.Mean, row.q.P50, row.q.P90, row.q.P99, row.q.P999, row.q.Max)
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,18 +14,20 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// Names of Report.Path.
+// Values of Report.Path.
 const (
 	pathFleet  = "fleet"
 	pathDirect = "direct"
 )
 
-// sender sends one request and says how it ended.
+// sender sends the n-th request with the given ID and returns its outcome. It leaves the times
+// of the outcome to the generator.
 type sender interface {
 	send(ctx context.Context, n int, id string) outcome
 }
 
-// Run sends requests until the duration is over or ctx ends, waits for the answers, and reports.
+// Run sends requests until the duration is over or ctx ends, waits for the answers and returns
+// the report.
 func Run(ctx context.Context, o Options) (Report, error) {
 	if err := o.Validate(); err != nil {
 		return Report{}, err
@@ -34,18 +36,18 @@
 	if err != nil {
 		return Report{}, err
 	}
-	g := &generator{options: o, sender: s, recorder: newRecorder(), free: make(chan struct{}, o.Outstanding)}
+	g := &generator{options: o, sender: s, recorder: newRecorder(), inFlight: make(chan struct{}, o.Outstanding)}
 	g.random = rand.New(rand.NewPCG(o.Seed, o.Seed))
 	start := time.Now()
-	measured := start.Add(o.Warmup)
-	end := measured.Add(o.Duration)
-	g.run(ctx, start, measured, end)
-	took := min(time.Since(measured), o.Duration)
+	warmupEnd := start.Add(o.Warmup)
+	end := warmupEnd.Add(o.Duration)
+	g.run(ctx, start, warmupEnd, end)
+	duration := min(time.Since(warmupEnd), o.Duration)
 	g.requests.Wait()
-	if took <= 0 {
+	if duration <= 0 {
 		return Report{}, fmt.Errorf("stopped during the warm-up: %w", ctx.Err())
 	}
-	return g.recorder.finish(path, o.Rate, took), nil
+	return g.recorder.finish(path, o.Rate, duration), nil
 }
 
 func newSender(o Options) (sender, string, error) {
@@ -70,28 +72,28 @@
 	return s, pathFleet, nil
 }
 
-// generator starts requests at drawn times.
+// generator starts requests on a random schedule.
 type generator struct {
 	options  Options
 	sender   sender
 	recorder *recorder
 	random   *rand.Rand
-	free     chan struct{}
+	inFlight chan struct{} // Holds an element for each running request.
 	requests conc.WaitGroup
 }
 
-func (g *generator) run(ctx context.Context, start, measured, end time.Time) {
-	run := strconv.FormatInt(start.UnixNano(), 36)
-	due := start
+func (g *generator) run(ctx context.Context, start, warmupEnd, end time.Time) {
+	runID := strconv.FormatInt(start.UnixNano(), 36)
+	scheduled := start
 	for n := 0; ; n++ {
-		due = due.Add(g.gap())
-		if !due.Before(end) || !sleepUntil(ctx, due) {
+		scheduled = scheduled.Add(g.nextInterval())
+		if !scheduled.Before(end) || !sleepUntil(ctx, scheduled) {
 			return
 		}
-		counted := !due.Before(measured)
+		counted := !scheduled.Before(warmupEnd)
 		select {
-		case g.free <- struct{}{}:
-			g.start(ctx, n, due, counted, run)
+		case g.inFlight <- struct{}{}:
+			g.start(ctx, n, scheduled, counted, runID)
 		default:
 			if counted {
 				g.recorder.notSent()
@@ -100,26 +102,27 @@
 	}
 }
 
-// gap draws the time between two starts: exponential, so that starts are a Poisson process.
-func (g *generator) gap() time.Duration {
+// nextInterval returns a random time between two starts. It is exponentially distributed, so that
+// starts form a Poisson process.
+func (g *generator) nextInterval() time.Duration {
 	return time.Duration(g.random.ExpFloat64() / g.options.Rate * float64(time.Second))
 }
 
-func (g *generator) start(ctx context.Context, n int, due time.Time, counted bool, run string) {
+func (g *generator) start(ctx context.Context, n int, scheduled time.Time, counted bool, runID string) {
 	g.requests.Go(func() {
-		defer func() { <-g.free }()
+		defer func() { <-g.inFlight }()
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.options.Timeout)
 		defer cancel()
 		sent := time.Now()
-		o := g.sender.send(ctx, n, fmt.Sprintf("load-%s-%d", run, n))
-		o.due, o.sent, o.done = due, sent, time.Now()
+		o := g.sender.send(ctx, n, fmt.Sprintf("load-%s-%d", runID, n))
+		o.scheduled, o.sent, o.done = scheduled, sent, time.Now()
 		if counted {
 			g.recorder.add(o)
 		}
 	})
 }
 
-// sleepUntil returns false when ctx ends first.
+// sleepUntil sleeps until t and returns false if ctx ends first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
@@ -135,7 +138,7 @@
 	}
 }
 
-// mixed reports whether an answer names another request than the one sent.
+// mixed reports whether an answer has the ID of another request than the one sent.
 func mixed(header http.Header, id string) bool {
 	got := header.Get(upstream.HeaderRequestID)
 	return got != "" && got != id
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -12,14 +12,14 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// Words that stand for a code when there is none.
+// Keys of Report.Codes for outcomes without a result code.
 const (
 	codeNone     = "none"
 	codeNoAnswer = "no-answer"
 	codeNoEntry  = "no-entry"
 )
 
-// fleetSender sends as a caller of the fleet does.
+// fleetSender sends through the fleet, as its callers do.
 type fleetSender struct {
 	options Options
 	clients []*client.Client
