--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -1,10 +1,11 @@
 // Command fleet measures whole fleets of real instances over loopback, in one process:
-// what an instance sends and how much processor time it takes while nothing happens and
-// while instances come and go, the calls of the platform, and the time until a change is
-// in force everywhere.
+// the messages and CPU time of an instance while the fleet is idle and while instances are
+// replaced, the calls to the platform, and the time until a configuration change is active
+// on every instance.
 //
-// All instances share the process with the stand-ins, so that the processor time of one
-// is the process's over their number, an upper bound.
+// All instances share the process with the platform and upstream stand-ins. The CPU time per
+// instance is the CPU time of the process divided by the number of instances, and so an upper
+// bound.
 package main
 
 import (
@@ -29,18 +30,18 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// Times of the measurement.
+// Times and intervals of the measurement.
 const (
-	readyTimeout  = 2 * time.Minute
-	settle        = 10 * time.Second
-	churnInterval = 2 * time.Second
-	forcePoll     = time.Millisecond
-	slowStore     = 300 * time.Millisecond
+	readyTimeout       = 2 * time.Minute
+	settleTime         = 10 * time.Second // From readiness to the first measurement.
+	churnInterval      = 2 * time.Second  // Between two replacements of an instance.
+	activePollInterval = time.Millisecond
+	slowStoreDelay     = 300 * time.Millisecond // Of each call to the slow store.
 )
 
 func main() {
-	sizes := flag.String("sizes", "12,24,44", "instances, separated by commas")
-	window := flag.Duration("window", 20*time.Second, "time of each measurement")
+	sizes := flag.String("sizes", "12,24,44", "numbers of instances, separated by commas")
+	window := flag.Duration("window", 20*time.Second, "duration of each measurement")
 	changes := flag.Int("changes", 20, "configuration changes while the store is healthy")
 	slow := flag.Int("slow-changes", 3, "configuration changes while the store is slow")
 	flag.Parse()
@@ -49,7 +50,7 @@
 	for _, size := range strings.Split(*sizes, ",") {
 		n, err := strconv.Atoi(size)
 		if err == nil {
-			err = measure(n, *window, *changes, *slow)
+			err = measureFleet(n, *window, *changes, *slow)
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -58,20 +59,20 @@
 	}
 }
 
-// measure runs one fleet and prints its rows.
-func measure(instances int, window time.Duration, changes, slowChanges int) error {
+// measureFleet runs one fleet and prints its rows.
+func measureFleet(instances int, window time.Duration, changes, slowChanges int) error {
 	f, set, err := start(instances)
 	if err != nil {
 		return err
 	}
-	idle := observe(f, window, nil)
+	idle := measureWindow(f, window, nil)
 	healthy, err := changeTimes(f, set, "healthy", changes)
 	if err != nil {
 		return errors.Join(err, f.Close())
 	}
 	idle.print(instances, "idle, store healthy", healthy)
-	churned := observe(f, window, func() { replaceOne(f) })
-	f.Platform.UpdateFaults(func(x *standin.Faults) { x.Delay = slowStore })
+	churned := measureWindow(f, window, func() { replaceOne(f) })
+	f.Platform.UpdateFaults(func(faults *standin.Faults) { faults.Delay = slowStoreDelay })
 	slow, err := changeTimes(f, set, "slow", slowChanges)
 	if err != nil {
 		return errors.Join(err, f.Close())
@@ -86,7 +87,7 @@
 		return nil, nil, err
 	}
 	f, err := local.Start(local.Options{
-		Name: set.Fleet, Zones: zones(), Region: examples.BunyaRidgeRegion, Seed: 1,
+		Name: set.Fleet, Zones: allZones(), Region: examples.BunyaRidgeRegion, Seed: 1,
 		DiscoveryMaxAge: time.Second, StopTimeout: 10 * time.Second, ListLag: time.Second,
 	})
 	if err != nil {
@@ -98,7 +99,7 @@
 	return f, set, nil
 }
 
-func zones() []fleet.Zone {
+func allZones() []fleet.Zone {
 	var all []fleet.Zone
 	for _, z := range examples.BunyaRidgeZones {
 		all = append(all, fleet.Zone(z))
@@ -111,7 +112,7 @@
 	defer cancel()
 	for _, s := range set.Services {
 		for i := range set.Sizes[s.Name].Endpoints {
-			spec := upstream.Spec{Service: s.Name, Zone: zones()[i%len(zones())], Slots: set.Sizes[s.Name].SlotsPerEndpoint}
+			spec := upstream.Spec{Service: s.Name, Zone: allZones()[i%len(allZones())], Slots: set.Sizes[s.Name].SlotsPerEndpoint}
 			if _, err := f.Host.Add(spec); err != nil {
 				return err
 			}
@@ -122,28 +123,29 @@
 		return err
 	}
 	for i := range instances {
-		if _, err := f.Add(zones()[i%len(zones())]); err != nil {
+		if _, err := f.Add(allZones()[i%len(allZones())]); err != nil {
 			return err
 		}
 	}
 	if err := f.Ready(ctx, accepted.Revision); err != nil {
 		return err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	return nil
 }
 
-// observation is what a fleet did in a window.
+// observation holds rates over a window, each per second. The first three are per instance.
 type observation struct {
-	sentBytes, messages, core, calls float64 // Each a second; the first three of one instance.
+	sentBytes, messages, coreShare, platformCalls float64
 }
 
-// observe counts for a window, in which event happens every churnInterval.
-func observe(f *local.Fleet, window time.Duration, event func()) observation {
-	running := f.Instances()
-	links := linkStats(running)
-	calls := f.Platform.Counts().Total
-	cpu := processorTime()
+// measureWindow measures for a window. It calls event, unless nil, every churnInterval. Instances
+// that end within the window don't count for the messages.
+func measureWindow(f *local.Fleet, window time.Duration, event func()) observation {
+	instances := f.Instances()
+	linksBefore := linkStats(instances)
+	callsBefore := f.Platform.Counts().Total
+	cpuBefore := cpuTime()
 	begin := time.Now()
 	for time.Since(begin) < window {
 		time.Sleep(churnInterval)
@@ -153,24 +155,24 @@
 	}
 	seconds := time.Since(begin).Seconds()
 	var o observation
-	kept := 0
-	for i, in := range running {
-		if isEnded(in) {
+	measured := 0
+	for i, in := range instances {
+		if hasEnded(in) {
 			continue
 		}
-		now := in.Node().LinkStats()
-		o.sentBytes += float64(now.SentBytes-links[i].SentBytes) / seconds
-		o.messages += float64(now.Sent-links[i].Sent) / seconds
-		kept++
-	}
-	o.sentBytes /= float64(kept)
-	o.messages /= float64(kept)
-	o.core = (processorTime() - cpu).Seconds() / seconds / float64(len(running))
-	o.calls = float64(f.Platform.Counts().Total-calls) / seconds
+		after := in.Node().LinkStats()
+		o.sentBytes += float64(after.SentBytes-linksBefore[i].SentBytes) / seconds
+		o.messages += float64(after.Sent-linksBefore[i].Sent) / seconds
+		measured++
+	}
+	o.sentBytes /= float64(measured)
+	o.messages /= float64(measured)
+	o.coreShare = (cpuTime() - cpuBefore).Seconds() / seconds / float64(len(instances))
+	o.platformCalls = float64(f.Platform.Counts().Total-callsBefore) / seconds
 	return o
 }
 
-func isEnded(in *local.Instance) bool {
+func hasEnded(in *local.Instance) bool {
 	select {
 	case <-in.Ended():
 		return true
@@ -187,8 +189,8 @@
 	return all
 }
 
-// processorTime returns the user and system time of the process.
-func processorTime() time.Duration {
+// cpuTime returns the user and system time of the process.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -196,7 +198,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// replaceOne kills the instance that runs for longest and starts another in its zone.
+// replaceOne kills the oldest instance and starts another in its zone.
 func replaceOne(f *local.Fleet) {
 	oldest := f.Instances()[0]
 	oldest.Kill()
@@ -205,8 +207,8 @@
 	}
 }
 
-// changeTimes makes changes one after another and returns the sorted times from the
-// acceptance of each until every instance serves it.
+// changeTimes applies changes one after another and returns the sorted times from the acceptance
+// of each until it is active on every instance.
 func changeTimes(f *local.Fleet, set *template.Set, name string, changes int) ([]time.Duration, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
@@ -219,11 +221,11 @@
 			return nil, err
 		}
 		begin := time.Now()
-		for !inForce(f, accepted.Revision) {
+		for !isActive(f, accepted.Revision) {
 			if ctx.Err() != nil {
-				return nil, fmt.Errorf("revision %d is not in force everywhere: %w", accepted.Revision, ctx.Err())
+				return nil, fmt.Errorf("revision %d is not active on every instance: %w", accepted.Revision, ctx.Err())
 			}
-			time.Sleep(forcePoll)
+			time.Sleep(activePollInterval)
 		}
 		times = append(times, time.Since(begin))
 	}
@@ -231,7 +233,7 @@
 	return times, nil
 }
 
-func inForce(f *local.Fleet, revision fleet.Revision) bool {
+func isActive(f *local.Fleet, revision fleet.Revision) bool {
 	for _, in := range f.Instances() {
 		if in.Node().Revision() < revision {
 			return false
@@ -242,7 +244,7 @@
 
 func (o observation) print(instances int, state string, times []time.Duration) {
 	fmt.Printf("| %d | %s | %.0f | %.1f | %.2f%% | %.1f | %.1f | %.1f |\n", instances, state,
-		o.sentBytes, o.messages, 100*o.core, o.calls, quantile(times, 0.5), quantile(times, 0.99))
+		o.sentBytes, o.messages, 100*o.coreShare, o.platformCalls, quantile(times, 0.5), quantile(times, 0.99))
 }
 
 func quantile(sorted []time.Duration, q float64) float64 {
--- a/internal/measure/routing/main.go
+++ b/internal/measure/routing/main.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	noLimit        = 1 << 20
-	unlimitedBurst = 1 << 30
-	mostAttempts   = 8
-	longWait       = 100 // Requests that wait at an endpoint that queues.
-	severalCarry   = 8
+	noConcurrencyLimit = 1 << 20
+	unlimitedBurst     = 1 << 30
+	manyAttempts       = 8
+	longQueue          = 100 // Maximum queue length at an endpoint.
+	manyCarriers       = 8
 )
 
-// settings are the service's own: the defaults with a retry share of 0.1.
-func settings() routing.Config {
+// defaultConfig returns the configuration that services use: the defaults with a retry share
+// of 0.1.
+func defaultConfig() routing.Config {
 	return routing.Config{RetryShare: routing.DefaultRetryShare}
 }
 
-// selecting returns the service's settings with another policy.
-func selecting(policy func() routing.Policy) func() routing.Config {
+// withPolicy returns the default configuration with another selection policy.
+func withPolicy(policy func() routing.Policy) func() routing.Config {
 	return func() routing.Config {
-		cfg := settings()
+		cfg := defaultConfig()
 		cfg.Policy = policy()
 		return cfg
 	}
 }
 
-// unlimited returns the settings without a bound on retries.
-func unlimited(policy func() routing.Policy, hedge float64) func() routing.Config {
+// unlimitedRetries returns the configuration with a policy and without a limit on retries.
+func unlimitedRetries(policy func() routing.Policy, hedge float64) func() routing.Config {
 	return func() routing.Config {
-		cfg := selecting(policy)()
+		cfg := withPolicy(policy)()
 		cfg.RetryShare = 1
 		cfg.RetryBurst = unlimitedBurst
-		cfg.MaxAttempts = mostAttempts
+		cfg.MaxAttempts = manyAttempts
 		cfg.HedgeQuantile = hedge
 		return cfg
 	}
@@ -48,19 +49,19 @@
 func randomPick() routing.Policy       { return routing.Random{} }
 func leastConnections() routing.Policy { return routing.LeastConnections{} }
 
-// variants are measured side by side.
+// variants are the configurations that are compared.
 var variants = []variant{
-	{"two choices (the service's own)", settings, endpointSlots},
-	{"round robin", selecting(roundRobin), endpointSlots},
-	{"random", selecting(randomPick), endpointSlots},
-	{"least connections", selecting(leastConnections), endpointSlots},
-	{"two choices, unlimited retries", unlimited(twoChoices, routing.DefaultHedgeQuantile), endpointSlots},
-	{"round robin, no limits, unlimited retries", unlimited(roundRobin, -1), noLimit},
-	{"random, no limits, unlimited retries", unlimited(randomPick, -1), noLimit},
-	{"least connections, no limits, unlimited retries", unlimited(leastConnections, -1), noLimit},
+	{"two choices (default)", defaultConfig, endpointSlots},
+	{"round robin", withPolicy(roundRobin), endpointSlots},
+	{"random", withPolicy(randomPick), endpointSlots},
+	{"least connections", withPolicy(leastConnections), endpointSlots},
+	{"two choices, unlimited retries", unlimitedRetries(twoChoices, routing.DefaultHedgeQuantile), endpointSlots},
+	{"round robin, no limits, unlimited retries", unlimitedRetries(roundRobin, -1), noConcurrencyLimit},
+	{"random, no limits, unlimited retries", unlimitedRetries(randomPick, -1), noConcurrencyLimit},
+	{"least connections, no limits, unlimited retries", unlimitedRetries(leastConnections, -1), noConcurrencyLimit},
 }
 
-// sharedVariants are the variants with each instance's share of the slots as its limits.
+// sharedVariants returns the variants with each instance's share of the slots as its limit.
 func sharedVariants() []variant {
 	shared := append([]variant(nil), variants...)
 	for i := range shared {
@@ -80,20 +81,22 @@
 	seeds := flag.Int("seeds", 5, "number of seeds, starting at 1")
 	flag.Parse()
 	fmt.Printf("One endpoint of %d runs 10 times slower.\n\n", endpointCount)
-	printTable(variants, *seeds, func(load float64) scenario { return scenario{load: load, slowdown: 10, carriers: 1, maxWait: longWait} })
-	fmt.Printf("\nThe same from %d instances; an endpoint refuses what is over its slots.\n\n", severalCarry)
+	printTable(variants, *seeds, func(load float64) scenario {
+		return scenario{load: load, slowdown: 10, carriers: 1, maxQueue: longQueue}
+	})
+	fmt.Printf("\nThe same from %d instances; an endpoint rejects requests over its slots.\n\n", manyCarriers)
 	printTable(sharedVariants(), *seeds, func(load float64) scenario {
-		return scenario{load: load, slowdown: 10, carriers: severalCarry}
+		return scenario{load: load, slowdown: 10, carriers: manyCarriers}
 	})
 	fmt.Printf("\nEvery request fails on every endpoint.\n\n")
 	printTable(outageVariants, *seeds, func(load float64) scenario {
-		return scenario{load: load, slowdown: 1, failures: 1, carriers: 1, maxWait: longWait}
+		return scenario{load: load, slowdown: 1, failures: 1, carriers: 1, maxQueue: longQueue}
 	})
 }
 
 // printTable prints one row for each variant and load.
 func printTable(variants []variant, seeds int, at func(load float64) scenario) {
-	fmt.Println("| routing | load | goodput | of its peak | p50 ms | p99 ms | shed | sent per request taken |")
+	fmt.Println("| routing | load | goodput | of its peak | p50 ms | p99 ms | shed | sent per request admitted |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
 	for _, v := range variants {
 		printVariant(v, seeds, at)
@@ -110,16 +113,17 @@
 	for i, load := range loads {
 		r := rows[i]
 		fmt.Printf("| %s | %.1f | %.3f ± %.3f | %s | %.0f | %.0f | %.3f | %.3f (at most %.3f) |\n",
-			v.name, load, r.mean.goodput, r.spread, share(r.mean.goodput, peak),
-			millis(r.mean.p50), millis(r.mean.p99), r.mean.shed, r.mean.sent, r.mostSent)
+			v.name, load, r.mean.goodput, r.goodputStdDev, percentOf(r.mean.goodput, peak),
+			millis(r.mean.p50), millis(r.mean.p99), r.mean.shed, r.mean.sent, r.maxSent)
 	}
 }
 
-// summary holds the means over the seeds, the standard deviation of goodput and the most work sent.
+// summary holds the means over the seeds, the standard deviation of goodput, and the maximum
+// attempts sent per admitted request.
 type summary struct {
-	mean     figures
-	spread   float64
-	mostSent float64
+	mean          results
+	goodputStdDev float64
+	maxSent       float64
 }
 
 func summarize(v variant, s scenario, seeds int) summary {
@@ -133,14 +137,14 @@
 		sum.mean.p99 += f.p99 / time.Duration(seeds)
 		sum.mean.shed += f.shed / n
 		sum.mean.sent += f.sent / n
-		sum.mostSent = max(sum.mostSent, f.sent)
+		sum.maxSent = max(sum.maxSent, f.sent)
 		squares += f.goodput * f.goodput / n
 	}
-	sum.spread = math.Sqrt(max(squares-sum.mean.goodput*sum.mean.goodput, 0))
+	sum.goodputStdDev = math.Sqrt(max(squares-sum.mean.goodput*sum.mean.goodput, 0))
 	return sum
 }
 
-func share(value, peak float64) string {
+func percentOf(value, peak float64) string {
 	if peak == 0 {
 		return "-"
 	}
--- a/internal/measure/routing/run.go
+++ b/internal/measure/routing/run.go
@@ -12,20 +12,20 @@
 	"github.com/damaskcove/damaskcove/internal/endpoints"
 )
 
-// The service that is measured: the stock lookups of a firm of today's size.
+// The measured service: the stock lookups of a firm of the present size.
 const (
 	endpointCount   = 10
 	endpointSlots   = 4
-	meanRun         = 20 * time.Millisecond
+	meanServiceTime = 20 * time.Millisecond // Of a request at a healthy endpoint.
 	requestDeadline = 500 * time.Millisecond
 	networkDelay    = 500 * time.Microsecond // One way.
 	idempotentShare = 0.8
 	accountCount    = 5
-	warmUp          = 5 * time.Second
-	measured        = 20 * time.Second
+	warmUpDuration  = 5 * time.Second
+	measureDuration = 20 * time.Second
 )
 
-// A latency histogram in microseconds.
+// Range (in microseconds) and precision of the latency histogram.
 const (
 	histogramMin    = 1
 	histogramMax    = int64(time.Minute / time.Microsecond)
@@ -34,52 +34,52 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// variant is one way of routing.
+// variant is one configuration of the balancer.
 type variant struct {
 	name   string
 	config func() routing.Config
 	limit  int // Concurrency limit of each endpoint; zero for the instance's share of the slots.
 }
 
-// scenario is what the service undergoes.
+// scenario holds the load on the service and its faults.
 type scenario struct {
-	load     float64 // Offered work over the service's slots.
-	slowdown float64 // Of the first endpoint.
-	failures float64 // Share of requests that fail, on every endpoint.
+	load     float64 // Offered load as a fraction of the capacity of all slots.
+	slowdown float64 // Factor on the service time of the first endpoint.
+	failures float64 // Fraction of requests that fail, on every endpoint.
 	carriers int     // Instances that carry the service.
-	maxWait  int     // Requests that wait at an endpoint.
+	maxQueue int     // Maximum queue length at an endpoint.
 }
 
 // figures are the results of one run.
-type figures struct {
-	goodput float64 // Requests answered in time per second, over what the slots can run.
+type results struct {
+	goodput float64 // Requests answered in time, as a fraction of the capacity of all slots.
 	p50     time.Duration
 	p99     time.Duration
-	shed    float64 // Share of requests not taken.
-	sent    float64 // Attempts sent per request taken.
+	shed    float64 // Fraction of requests that the balancer rejected.
+	sent    float64 // Attempts sent per admitted request.
 }
 
-// attemptKey names one attempt.
+// attemptKey identifies one attempt.
 type attemptKey struct {
 	id     uint64
 	number int
 }
 
-// bench is one run.
-type bench struct {
+// simulation is one run in virtual time.
+type simulation struct {
 	eventQueue
-	random    *rand.Rand
-	carriers  []*carrier
-	upstreams map[fleet.Endpoint]*upstream
-	jobs      map[attemptKey]*job
-	endpoints map[attemptKey]fleet.Endpoint
-	submitted map[uint64]time.Time
-	results   map[attemptKey]routing.AttemptResult
-	nextID    uint64
-	interval  time.Duration // Mean time between two requests.
+	random         *rand.Rand
+	carriers       []*carrier
+	upstreams      map[fleet.Endpoint]*upstream
+	jobs           map[attemptKey]*job
+	endpoints      map[attemptKey]fleet.Endpoint
+	submitted      map[uint64]time.Time
+	attemptResults map[attemptKey]routing.AttemptResult
+	nextID         uint64
+	interval       time.Duration // Mean time between two requests.
 
-	latencies                        *hdrhistogram.Histogram
-	offered, taken, sent, good, shed int
+	latencies                             *hdrhistogram.Histogram
+	offered, admitted, sent, inTime, shed int
 }
 
 // carrier is one instance with its balancer.
@@ -89,59 +89,59 @@
 }
 
 // run measures one variant in one scenario.
-func run(v variant, s scenario, seed uint64) figures {
-	b := newBench(v, s, seed)
-	b.now = start
-	b.arrivals()
-	b.runUntil(start.Add(warmUp))
-	b.offered, b.taken, b.sent, b.good, b.shed = 0, 0, 0, 0, 0
-	b.latencies.Reset()
-	b.runUntil(start.Add(warmUp + measured))
-	capacity := float64(endpointCount*endpointSlots) / meanRun.Seconds()
-	return figures{
-		goodput: float64(b.good) / measured.Seconds() / capacity,
-		p50:     time.Duration(b.latencies.ValueAtQuantile(50)) * time.Microsecond,
-		p99:     time.Duration(b.latencies.ValueAtQuantile(99)) * time.Microsecond,
-		shed:    float64(b.shed) / float64(max(b.offered, 1)),
-		sent:    float64(b.sent) / float64(max(b.taken, 1)),
+func run(v variant, sc scenario, seed uint64) results {
+	s := newSimulation(v, sc, seed)
+	s.now = start
+	s.arrivals()
+	s.runUntil(start.Add(warmUpDuration))
+	s.offered, s.admitted, s.sent, s.inTime, s.shed = 0, 0, 0, 0, 0
+	s.latencies.Reset()
+	s.runUntil(start.Add(warmUpDuration + measureDuration))
+	capacity := float64(endpointCount*endpointSlots) / meanServiceTime.Seconds()
+	return results{
+		goodput: float64(s.inTime) / measureDuration.Seconds() / capacity,
+		p50:     time.Duration(s.latencies.ValueAtQuantile(50)) * time.Microsecond,
+		p99:     time.Duration(s.latencies.ValueAtQuantile(99)) * time.Microsecond,
+		shed:    float64(s.shed) / float64(max(s.offered, 1)),
+		sent:    float64(s.sent) / float64(max(s.admitted, 1)),
 	}
 }
 
-func newBench(v variant, s scenario, seed uint64) *bench {
-	rate := s.load * float64(endpointCount*endpointSlots) / meanRun.Seconds()
-	b := &bench{
-		random:    rand.New(rand.NewPCG(seed, 1)),
-		upstreams: make(map[fleet.Endpoint]*upstream),
-		jobs:      make(map[attemptKey]*job),
-		endpoints: make(map[attemptKey]fleet.Endpoint),
-		submitted: make(map[uint64]time.Time),
-		results:   make(map[attemptKey]routing.AttemptResult),
-		interval:  time.Duration(float64(time.Second) / rate),
-		latencies: hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
+func newSimulation(v variant, sc scenario, seed uint64) *simulation {
+	rate := sc.load * float64(endpointCount*endpointSlots) / meanServiceTime.Seconds()
+	s := &simulation{
+		random:         rand.New(rand.NewPCG(seed, 1)),
+		upstreams:      make(map[fleet.Endpoint]*upstream),
+		jobs:           make(map[attemptKey]*job),
+		endpoints:      make(map[attemptKey]fleet.Endpoint),
+		submitted:      make(map[uint64]time.Time),
+		attemptResults: make(map[attemptKey]routing.AttemptResult),
+		interval:       time.Duration(float64(time.Second) / rate),
+		latencies:      hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
 	}
 	var listed []fleet.Upstream
 	for i := range endpointCount {
 		endpoint := fleet.Endpoint(fmt.Sprintf("192.0.2.%d:80", i+1))
-		mean := meanRun
+		mean := meanServiceTime
 		if i == 0 {
-			mean = time.Duration(float64(meanRun) * s.slowdown)
+			mean = time.Duration(float64(meanServiceTime) * sc.slowdown)
 		}
-		b.upstreams[endpoint] = &upstream{
-			queue:    &b.eventQueue,
-			random:   b.random,
+		s.upstreams[endpoint] = &upstream{
+			events:   &s.eventQueue,
+			random:   s.random,
 			slots:    endpointSlots,
-			maxWait:  s.maxWait,
+			maxQueue: sc.maxQueue,
 			mean:     mean,
-			failures: s.failures,
+			failures: sc.failures,
 		}
 		listed = append(listed, fleet.Upstream{Endpoint: endpoint, Slots: endpointSlots})
 	}
-	b.addCarriers(v, s.carriers, listed, seed)
-	return b
+	s.addCarriers(v, sc.carriers, listed, seed)
+	return s
 }
 
-// addCarriers starts the balancers, each with its share of the slots.
-func (b *bench) addCarriers(v variant, count int, listed []fleet.Upstream, seed uint64) {
+// addCarriers creates the balancers, each with its share of the slots.
+func (s *simulation) addCarriers(v variant, count int, listed []fleet.Upstream, seed uint64) {
 	instances := make([]fleet.Instance, count)
 	for i := range instances {
 		ref := fleet.Ref{ID: fleet.InstanceID(fmt.Sprint("instance-", i)), Incarnation: 1}
@@ -150,7 +150,7 @@
 	for i, instance := range instances {
 		random := rand.New(rand.NewPCG(seed, uint64(2+i)))
 		c := &carrier{balancer: routing.NewBalancer(v.config(), random)}
-		b.carriers = append(b.carriers, c)
+		s.carriers = append(s.carriers, c)
 		var targets []routing.Target
 		for j, limit := range endpoints.Limits(listed, instances, instance.Ref) {
 			if v.limit > 0 {
@@ -160,114 +160,114 @@
 				targets = append(targets, routing.Target{Upstream: listed[j], Limit: limit})
 			}
 		}
-		b.apply(c, c.balancer.SetTargets(start, targets))
+		s.apply(c, c.balancer.SetTargets(start, targets))
 	}
 }
 
-// carrierOf returns the instance that a request came to.
-func (b *bench) carrierOf(id uint64) *carrier {
-	return b.carriers[id%uint64(len(b.carriers))]
+// carrierOf returns the instance that handles a request.
+func (s *simulation) carrierOf(id uint64) *carrier {
+	return s.carriers[id%uint64(len(s.carriers))]
 }
 
-// arrivals submits requests with exponentially distributed intervals.
-func (b *bench) arrivals() {
-	b.after(time.Duration(b.random.ExpFloat64()*float64(b.interval)), func() {
-		b.submit()
-		b.arrivals()
+// arrivals schedules requests with exponentially distributed intervals.
+func (s *simulation) arrivals() {
+	s.after(time.Duration(s.random.ExpFloat64()*float64(s.interval)), func() {
+		s.submit()
+		s.arrivals()
 	})
 }
 
-func (b *bench) submit() {
-	b.nextID++
-	b.offered++
-	b.submitted[b.nextID] = b.now
-	c := b.carrierOf(b.nextID)
-	b.apply(c, c.balancer.Submit(b.now, routing.Request{
-		ID:         b.nextID,
-		Account:    fleet.Account(fmt.Sprint("account-", b.random.IntN(accountCount))),
-		Idempotent: b.random.Float64() < idempotentShare,
-		Deadline:   b.now.Add(requestDeadline),
+func (s *simulation) submit() {
+	s.nextID++
+	s.offered++
+	s.submitted[s.nextID] = s.now
+	c := s.carrierOf(s.nextID)
+	s.apply(c, c.balancer.Submit(s.now, routing.Request{
+		ID:         s.nextID,
+		Account:    fleet.Account(fmt.Sprint("account-", s.random.IntN(accountCount))),
+		Idempotent: s.random.Float64() < idempotentShare,
+		Deadline:   s.now.Add(requestDeadline),
 	}))
 }
 
-// apply carries out effects and sets the wake.
-func (b *bench) apply(c *carrier, effects []routing.Effect) {
+// apply executes effects and schedules the next tick of the balancer.
+func (s *simulation) apply(c *carrier, effects []routing.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case routing.Dispatch:
-			b.dispatch(e)
+			s.dispatch(e)
 		case routing.CancelAttempt:
-			b.cancel(attemptKey{e.ID, e.Attempt})
+			s.cancel(attemptKey{e.ID, e.Attempt})
 		case routing.Deliver:
-			b.deliver(e)
+			s.deliver(e)
 		case routing.Reject:
-			b.shed++
-			delete(b.submitted, e.ID)
+			s.shed++
+			delete(s.submitted, e.ID)
 		}
 	}
-	b.setWake(c)
+	s.setWake(c)
 }
 
-func (b *bench) setWake(c *carrier) {
-	at, ok := c.balancer.NextWake(b.now)
-	if !ok || (c.wakeAt.After(b.now) && !at.Before(c.wakeAt)) {
+func (s *simulation) setWake(c *carrier) {
+	at, ok := c.balancer.NextWake(s.now)
+	if !ok || (c.wakeAt.After(s.now) && !at.Before(c.wakeAt)) {
 		return
 	}
 	c.wakeAt = at
-	b.at(at, func() {
+	s.at(at, func() {
 		if c.wakeAt.Equal(at) {
 			c.wakeAt = time.Time{}
-			b.apply(c, c.balancer.Tick(b.now))
+			s.apply(c, c.balancer.Tick(s.now))
 		}
 	})
 }
 
-func (b *bench) dispatch(d routing.Dispatch) {
-	b.sent++
+func (s *simulation) dispatch(d routing.Dispatch) {
+	s.sent++
 	if d.Attempt == 1 {
-		b.taken++
+		s.admitted++
 	}
 	key := attemptKey{d.ID, d.Attempt}
-	sentAt := b.now
+	sentAt := s.now
 	j := &job{attempt: key}
 	j.done = func(result routing.AttemptResult) {
-		b.after(networkDelay, func() { b.finish(key, result, sentAt) })
+		s.after(networkDelay, func() { s.finish(key, result, sentAt) })
 	}
-	b.jobs[key] = j
-	b.endpoints[key] = d.Endpoint
-	b.after(networkDelay, func() { b.upstreams[d.Endpoint].arrive(j) })
+	s.jobs[key] = j
+	s.endpoints[key] = d.Endpoint
+	s.after(networkDelay, func() { s.upstreams[d.Endpoint].arrive(j) })
 }
 
-func (b *bench) cancel(key attemptKey) {
-	j := b.jobs[key]
-	b.after(networkDelay, func() { b.upstreams[b.endpointOf(key)].cancel(j) })
+func (s *simulation) cancel(key attemptKey) {
+	j := s.jobs[key]
+	s.after(networkDelay, func() { s.upstreams[s.endpointOf(key)].cancel(j) })
 }
 
-func (b *bench) endpointOf(key attemptKey) fleet.Endpoint {
-	if endpoint, ok := b.endpoints[key]; ok {
+func (s *simulation) endpointOf(key attemptKey) fleet.Endpoint {
+	if endpoint, ok := s.endpoints[key]; ok {
 		return endpoint
 	}
 	return "192.0.2.1:80" // The attempt has ended; cancelling it does nothing.
 }
 
-func (b *bench) finish(key attemptKey, result routing.AttemptResult, sentAt time.Time) {
-	endpoint := b.endpoints[key]
-	delete(b.jobs, key)
-	delete(b.endpoints, key)
-	b.results[key] = result
-	c := b.carrierOf(key.id)
-	c.balancer.SetLoad(b.now, endpoint, b.upstreams[endpoint].load())
-	b.apply(c, c.balancer.Finish(b.now, key.id, key.number, result, b.now.Sub(sentAt)))
-	delete(b.results, key)
+func (s *simulation) finish(key attemptKey, result routing.AttemptResult, sentAt time.Time) {
+	endpoint := s.endpoints[key]
+	delete(s.jobs, key)
+	delete(s.endpoints, key)
+	s.attemptResults[key] = result
+	c := s.carrierOf(key.id)
+	c.balancer.SetLoad(s.now, endpoint, s.upstreams[endpoint].load())
+	s.apply(c, c.balancer.Finish(s.now, key.id, key.number, result, s.now.Sub(sentAt)))
+	delete(s.attemptResults, key)
 }
 
-func (b *bench) deliver(d routing.Deliver) {
-	submitted := b.submitted[d.ID]
-	delete(b.submitted, d.ID)
-	latency := b.now.Sub(submitted)
-	if b.results[attemptKey{d.ID, d.Attempt}] != routing.AttemptSucceeded || latency > requestDeadline {
+func (s *simulation) deliver(d routing.Deliver) {
+	submitted := s.submitted[d.ID]
+	delete(s.submitted, d.ID)
+	latency := s.now.Sub(submitted)
+	if s.attemptResults[attemptKey{d.ID, d.Attempt}] != routing.AttemptSucceeded || latency > requestDeadline {
 		return
 	}
-	b.good++
-	_ = b.latencies.RecordValue(latency.Microseconds())
+	s.inTime++
+	_ = s.latencies.RecordValue(latency.Microseconds())
 }
--- a/internal/measure/routing/upstream.go
+++ b/internal/measure/routing/upstream.go
@@ -8,17 +8,17 @@
 	"github.com/damaskcove/damaskcove/coord/routing"
 )
 
-// upstream is one endpoint: it runs as many requests at once as it has slots, lets others
-// wait up to a bound, and refuses the rest before starting them.
+// upstream is one endpoint. It runs as many concurrent requests as it has slots, queues up to
+// maxQueue others, and rejects the rest before starting them.
 type upstream struct {
-	queue    *eventQueue
+	events   *eventQueue
 	random   *rand.Rand
 	slots    int
-	maxWait  int
-	mean     time.Duration // Mean time to run a request.
-	failures float64       // Share of requests that fail.
-	busy     int
-	waiting  []*job
+	maxQueue int
+	mean     time.Duration // Mean service time.
+	failures float64       // Fraction of requests that fail.
+	running  int
+	queued   []*job
 }
 
 // job is one attempt at an upstream.
@@ -29,27 +29,27 @@
 	ended   bool
 }
 
-// arrive takes one attempt.
+// arrive starts, queues or rejects an attempt.
 func (u *upstream) arrive(j *job) {
 	if j.ended {
 		return
 	}
-	if u.busy < u.slots {
+	if u.running < u.slots {
 		u.start(j)
 		return
 	}
-	if len(u.waiting) >= u.maxWait {
+	if len(u.queued) >= u.maxQueue {
 		j.end(routing.AttemptRefused)
 		return
 	}
-	u.waiting = append(u.waiting, j)
+	u.queued = append(u.queued, j)
 }
 
 // start runs an attempt for an exponentially distributed time.
 func (u *upstream) start(j *job) {
-	u.busy++
+	u.running++
 	j.started = true
-	u.queue.after(time.Duration(u.random.ExpFloat64()*float64(u.mean)), func() { u.finish(j) })
+	u.events.after(time.Duration(u.random.ExpFloat64()*float64(u.mean)), func() { u.finish(j) })
 }
 
 func (u *upstream) finish(j *job) {
@@ -74,22 +74,22 @@
 		u.freeSlot()
 		return
 	}
-	u.waiting = slices.DeleteFunc(u.waiting, func(w *job) bool { return w == j })
+	u.queued = slices.DeleteFunc(u.queued, func(w *job) bool { return w == j })
 }
 
 func (u *upstream) freeSlot() {
-	u.busy--
-	if len(u.waiting) == 0 {
+	u.running--
+	if len(u.queued) == 0 {
 		return
 	}
-	next := u.waiting[0]
-	u.waiting = u.waiting[1:]
+	next := u.queued[0]
+	u.queued = u.queued[1:]
 	u.start(next)
 }
 
-// load returns the share of the slots in use, as the endpoint reports it.
+// load returns the fraction of the slots in use, as the endpoint reports it.
 func (u *upstream) load() float64 {
-	return float64(u.busy) / float64(u.slots)
+	return float64(u.running) / float64(u.slots)
 }
 
 func (j *job) end(result routing.AttemptResult) {
