--- a/internal/measure/health/curves.go
+++ b/internal/measure/health/curves.go
@@ -15,14 +15,14 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// point is one setting of a policy: its false ejections and its detection time.
+// point holds the false ejections and the detection time of a policy at one setting.
 type point struct {
 	setting float64
 	rate    float64 // False ejections per endpoint-month.
 	seconds float64 // Median detection time; infinite if most runs did not detect.
 }
 
-// curve is one policy over its settings.
+// curve holds the points of one policy.
 type curve struct {
 	name   string
 	points []point
@@ -43,14 +43,14 @@
 	fmt.Fprintln(out, "| service | fault | method | setting | false ejections per endpoint-month | p50 s |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|")
 	for _, service := range []fleet.Service{"catalogue", "stock"} {
-		w := find(service).day()
+		w := findWorkload(service).day()
 		rates := map[string]line{
-			"damaskcove":   measureJudged(w, curveSeeds).line,
+			"damaskcove":   measureEvaluator(w, curveSeeds).line,
 			"consecutive":  measureConsecutive(w, curveSeeds).line,
 			"success rate": measureOutlier(w, curveSeeds).line,
 		}
 		for i, name := range curveFaults {
-			curves := curvesOf(w, faultNamed(name), rates, seeds)
+			curves := curvesOf(w, findFault(name), rates, seeds)
 			writePoints(out, w.name, name, curves)
 			file := filepath.Join(dir, fmt.Sprintf("health-%s-%d.svg", service, i+1))
 			if err := drawCurves(file, w.name+", "+name, curves); err != nil {
@@ -61,27 +61,27 @@
 	return nil
 }
 
-func faultNamed(name string) fault {
+func findFault(name string) fault {
 	for _, f := range faults {
 		if f.name == name {
 			return f
 		}
 	}
-	panic("no fault " + name)
+	panic("unknown fault " + name)
 }
 
 func curvesOf(w workload, f fault, rates map[string]line, seeds int) []curve {
 	return []curve{
 		curveOf("damaskcove", curveLimits, rates, func(limit float64) []float64 {
-			own := w
-			own.accepted = acceptedFor(w, limit)
-			return detections(own, f, methods[0], seeds)
+			adjusted := w
+			adjusted.acceptedRate = acceptedRateFor(w, limit)
+			return detections(adjusted, f, methods[0], seeds)
 		}),
 		curveOf("consecutive", curveConsecutive, rates, func(limit float64) []float64 {
-			return detections(w, f, method{make: consecutiveOf(int(limit))}, seeds)
+			return detections(w, f, method{newPolicy: consecutiveOf(int(limit))}, seeds)
 		}),
 		curveOf("success rate", curveDeviations, rates, func(deviations float64) []float64 {
-			return detections(w, f, method{make: outlierOf(deviations)}, seeds)
+			return detections(w, f, method{newPolicy: outlierOf(deviations)}, seeds)
 		}),
 	}
 }
@@ -97,7 +97,7 @@
 func writePoints(out io.Writer, service, fault string, curves []curve) {
 	for _, c := range curves {
 		for _, p := range c.points {
-			fmt.Fprintf(out, "| %s | %s | %s | %g | %.2g | %s |\n", service, fault, c.name, p.setting, p.rate, number(p.seconds))
+			fmt.Fprintf(out, "| %s | %s | %s | %g | %.2g | %s |\n", service, fault, c.name, p.setting, p.rate, formatSeconds(p.seconds))
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func addCurve(p *plot.Plot, c curve, ink color.Color) error {
+func addCurve(p *plot.Plot, c curve, lineColor color.Color) error {
 	var points plotter.XYs
 	for _, x := range c.points {
 		if !math.IsInf(x.seconds, 1) && x.rate > 0 && !math.IsNaN(x.rate) {
@@ -147,7 +147,7 @@
 	if err != nil {
 		return fmt.Errorf("draw %s: %w", c.name, err)
 	}
-	l.Color, s.Color, s.Shape = ink, ink, draw.CircleGlyph{}
+	l.Color, s.Color, s.Shape = lineColor, lineColor, draw.CircleGlyph{}
 	p.Add(l, s)
 	p.Legend.Add(c.name, l, s)
 	return nil
--- a/internal/measure/health/doc.go
+++ b/internal/measure/health/doc.go
@@ -1,8 +1,9 @@
-// Command health measures how fast gray endpoints leave service and how often healthy ones do.
+// Command health measures how fast endpoints with gray faults are taken out of service, and how
+// often healthy ones are.
 //
-// It feeds the carriers and the judge of package health, and two baselines, with the
-// same made traffic in virtual time. All draws come from seeds, so that a run gives the
-// same figures on any machine, but for the nanoseconds of "cost".
+// It runs the carriers and the evaluator of package health, and two baselines, on the same
+// synthetic traffic in virtual time. All random values come from seeds, so that a run gives the
+// same figures on every machine, except for the nanoseconds of "cost".
 //
 //	go run ./internal/measure/health detection --seeds 100
 //	go run ./internal/measure/health false
--- a/internal/measure/health/main.go
+++ b/internal/measure/health/main.go
@@ -8,7 +8,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "health", Short: "Measures detection times and false ejections on made traffic", SilenceUsage: true}
+	root := &cobra.Command{Use: "health", Short: "Measures detection times and false ejections on synthetic traffic", SilenceUsage: true}
 	root.AddCommand(detectionCommand(), falseCommand(), curvesCommand(), costCommand())
 	if err := root.Execute(); err != nil {
 		os.Exit(1)
@@ -22,11 +22,11 @@
 		Use:   "detection",
 		Short: "Detection time of each fault, for each service by day and by night",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			loads, err := loadsOf(only)
+			workloads, err := selectWorkloads(only)
 			if err != nil {
 				return err
 			}
-			writeDetections(cmd.OutOrStdout(), loads, seeds)
+			writeDetections(cmd.OutOrStdout(), workloads, seeds)
 			return nil
 		},
 	}
@@ -35,18 +35,18 @@
 	return c
 }
 
-// loadsOf returns the services by day and by night, or one of them.
-func loadsOf(only string) ([]workload, error) {
-	var loads []workload
+// selectWorkloads returns the day and night workloads of all services, or of one.
+func selectWorkloads(only string) ([]workload, error) {
+	var workloads []workload
 	for _, w := range services {
 		if only == "" || string(w.service) == only {
-			loads = append(loads, w.day(), w.night())
+			workloads = append(workloads, w.day(), w.night())
 		}
 	}
-	if len(loads) == 0 {
+	if len(workloads) == 0 {
 		return nil, fmt.Errorf("service %q is not one of the %d measured", only, len(services))
 	}
-	return loads, nil
+	return workloads, nil
 }
 
 func falseCommand() *cobra.Command {
@@ -55,7 +55,7 @@
 		Use:   "false",
 		Short: "False ejections of healthy endpoints, measured at low limits and extrapolated",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			writeFalse(cmd.OutOrStdout(), seeds)
+			writeFalseEjections(cmd.OutOrStdout(), seeds)
 			return nil
 		},
 	}
@@ -81,7 +81,7 @@
 func costCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "cost",
-		Short: "State, time and bytes of carriers and judges, as slopes over endpoints and carriers",
+		Short: "State, time and bytes of carriers and evaluators, as slopes over endpoints and carriers",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return writeCost(cmd.OutOrStdout())
 		},
--- a/internal/measure/health/simulate.go
+++ b/internal/measure/health/simulate.go
@@ -11,11 +11,11 @@
 	"github.com/damaskcove/damaskcove/internal/endpoints"
 )
 
-// event is something that happens at a time; order breaks ties.
+// event runs at a virtual time. Events at the same time run in the order of their sequence.
 type event struct {
-	at    time.Time
-	order int
-	run   func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
 type events []event
@@ -25,7 +25,7 @@
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].order < e[j].order
+	return e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -37,49 +37,49 @@
 
 // simulation is one run of one service in virtual time.
 type simulation struct {
-	w       workload
-	random  *rand.Rand
-	all     []fleet.Instance
-	policy  policy
-	now     time.Time
-	queue   events
-	order   int
-	limits  [][]int // By carrier and endpoint.
-	busy    [][]int
-	stalled []time.Time // End of each endpoint's last stall.
-	waiting []int       // Requests that wait at each carrier.
-	fault   fault
-	sick    int
-	onset   time.Time
-	sent    int // To the sick endpoint since the onset.
+	w         workload
+	random    *rand.Rand
+	carriers  []fleet.Instance
+	policy    policy
+	now       time.Time
+	queue     events
+	sequence  int
+	limits    [][]int     // Concurrency limits, by carrier and endpoint.
+	inFlight  [][]int     // Running requests, by carrier and endpoint.
+	stalled   []time.Time // End of each endpoint's last stall.
+	queued    []int       // Queued requests at each carrier.
+	fault     fault
+	unhealthy int // Endpoint with the fault, or -1.
+	onset     time.Time
+	sent      int // Requests to the unhealthy endpoint since the onset.
 }
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-func newSimulation(w workload, seed uint64, make func(all []fleet.Instance, now time.Time) policy) *simulation {
-	s := &simulation{w: w, random: rand.New(rand.NewPCG(seed, 0x6865616c7468)), all: fleetOf(carriers), now: epoch, sick: -1}
-	s.policy = make(s.all, s.now)
-	for _, c := range s.all {
+func newSimulation(w workload, seed uint64, newPolicy func(all []fleet.Instance, now time.Time) policy) *simulation {
+	s := &simulation{w: w, random: rand.New(rand.NewPCG(seed, 0x6865616c7468)), carriers: fleetOf(carriers), now: epoch, unhealthy: -1}
+	s.policy = newPolicy(s.carriers, s.now)
+	for _, c := range s.carriers {
 		s.limits = append(s.limits, s.limitsOf(c))
-		s.busy = append(s.busy, newInts(w.endpoints))
+		s.inFlight = append(s.inFlight, newInts(w.endpoints))
 	}
 	s.stalled = newTimes(w.endpoints)
-	s.waiting = newInts(len(s.all))
-	for c := range s.all {
+	s.queued = newInts(len(s.carriers))
+	for c := range s.carriers {
 		s.after(time.Duration(s.random.Int64N(int64(control.TickInterval))), func() { s.tick(c) })
 	}
 	for e := range w.endpoints {
-		s.planStall(e)
+		s.scheduleStall(e)
 	}
-	s.arrive()
+	s.scheduleArrival()
 	return s
 }
 
 // limitsOf returns a carrier's share of each endpoint's slots. The success-rate outlier
-// compares the endpoints of one carrier, and so gets a share of each.
+// compares the endpoints of one carrier, and so needs a limit of at least 1 at each.
 func (s *simulation) limitsOf(c fleet.Instance) []int {
-	if _, all := s.policy.(*outlier); !all {
-		return endpoints.Limits(s.w.upstreams(), s.all, c.Ref)
+	if _, isOutlier := s.policy.(*outlier); !isOutlier {
+		return endpoints.Limits(s.w.upstreams(), s.carriers, c.Ref)
 	}
 	limits := newInts(s.w.endpoints)
 	for e := range limits {
@@ -92,18 +92,19 @@
 func newTimes(n int) []time.Time { return make([]time.Time, n) }
 
 func (s *simulation) after(d time.Duration, run func()) {
-	s.order++
-	heap.Push(&s.queue, event{at: s.now.Add(d), order: s.order, run: run})
+	s.sequence++
+	heap.Push(&s.queue, event{at: s.now.Add(d), sequence: s.sequence, run: run})
 }
 
-// run lets time pass until done says so or until the end, and returns whether it was done.
+// run processes events for a duration or until done, unless nil, returns true, and reports whether
+// it did.
 func (s *simulation) run(d time.Duration, done func() bool) bool {
 	end := s.now.Add(d)
 	for s.queue[0].at.Before(end) {
 		next := heap.Pop(&s.queue).(event)
 		s.now = next.at
 		next.run()
-		s.post()
+		s.sendMessages()
 		if done != nil && done() {
 			return true
 		}
@@ -112,8 +113,8 @@
 	return false
 }
 
-// post sends the policy's messages, with the delay of a link between zones.
-func (s *simulation) post() {
+// sendMessages sends the messages of the policy with the delay of a link between zones.
+func (s *simulation) sendMessages() {
 	for _, m := range s.policy.outbox() {
 		delay := 500*time.Microsecond + time.Duration(s.random.Int64N(int64(2*time.Millisecond)))
 		s.after(delay, func() { s.policy.deliver(s.now, m) })
@@ -122,78 +123,80 @@
 
 func (s *simulation) tick(carrier int) {
 	s.policy.tick(s.now, carrier)
-	s.drain(carrier)
+	s.dispatchQueued(carrier)
 	s.after(control.TickInterval, func() { s.tick(carrier) })
 }
 
-func (s *simulation) planStall(e int) {
-	wait := time.Duration(s.random.ExpFloat64() * float64(stallEvery))
+func (s *simulation) scheduleStall(e int) {
+	wait := time.Duration(s.random.ExpFloat64() * float64(meanStallInterval))
 	s.after(wait, func() {
-		s.stalled[e] = s.now.Add(stallFor)
-		s.planStall(e)
+		s.stalled[e] = s.now.Add(stallDuration)
+		s.scheduleStall(e)
 	})
 }
 
-func (s *simulation) arrive() {
+func (s *simulation) scheduleArrival() {
 	wait := s.random.ExpFloat64() / s.w.rate()
 	s.after(time.Duration(wait*float64(time.Second)), func() {
-		carrier := s.random.IntN(len(s.all))
-		s.waiting[carrier]++
-		s.drain(carrier)
-		s.arrive()
+		carrier := s.random.IntN(len(s.carriers))
+		s.queued[carrier]++
+		s.dispatchQueued(carrier)
+		s.scheduleArrival()
 	})
 }
 
-// drain sends waiting requests while an endpoint has room for one.
-func (s *simulation) drain(carrier int) {
-	for s.waiting[carrier] > 0 {
-		e, trial, ok := s.choose(carrier)
+// dispatchQueued sends queued requests while an endpoint has capacity.
+func (s *simulation) dispatchQueued(carrier int) {
+	for s.queued[carrier] > 0 {
+		e, trial, ok := s.pickEndpoint(carrier)
 		if !ok {
 			return
 		}
-		s.waiting[carrier]--
+		s.queued[carrier]--
 		s.send(carrier, e, trial)
 	}
 }
 
-// choose takes the less busy of two random endpoints that have room.
-func (s *simulation) choose(carrier int) (endpoint int, trial, ok bool) {
-	var open []int
+// pickEndpoint returns an idle endpoint in trial, or else the one of two random endpoints with
+// capacity that has fewer running requests.
+func (s *simulation) pickEndpoint(carrier int) (endpoint int, trial, ok bool) {
+	var candidates []int
 	usable := false
 	for e := range s.w.endpoints {
 		state := s.policy.state(s.now, carrier, e)
-		if state == health.StateTrial && s.busy[carrier][e] == 0 {
+		if state == health.StateTrial && s.inFlight[carrier][e] == 0 {
 			return e, true, true
 		}
 		if state == health.StateInService && s.limits[carrier][e] > 0 {
 			usable = true
-			if s.busy[carrier][e] < s.limits[carrier][e] {
-				open = append(open, e)
+			if s.inFlight[carrier][e] < s.limits[carrier][e] {
+				candidates = append(candidates, e)
 			}
 		}
 	}
 	if !usable {
-		open = s.anyOpen(carrier)
+		candidates = s.idleInService(carrier)
 	}
-	if len(open) == 0 {
+	if len(candidates) == 0 {
 		return 0, false, false
 	}
-	a, b := open[s.random.IntN(len(open))], open[s.random.IntN(len(open))]
-	if s.busy[carrier][b] < s.busy[carrier][a] {
+	a, b := candidates[s.random.IntN(len(candidates))], candidates[s.random.IntN(len(candidates))]
+	if s.inFlight[carrier][b] < s.inFlight[carrier][a] {
 		a = b
 	}
 	return a, false, true
 }
 
-// anyOpen returns the endpoints in service without a request of this carrier.
-func (s *simulation) anyOpen(carrier int) []int {
-	var open []int
+// idleInService returns the endpoints in service without a running request of this carrier. Limits
+// don't matter here.
+func (s *simulation) idleInService(carrier int) []int {
+	var candidates []int
 	for e := range s.w.endpoints {
-		if s.policy.state(s.now, carrier, e) == health.StateInService && s.busy[carrier][e] == 0 {
-			open = append(open, e)
+		if s.policy.state(s.now, carrier, e) == health.StateInService && s.inFlight[carrier][e] == 0 {
+			candidates = append(candidates, e)
 		}
 	}
-	return open
+	return candidates
 }
 
 func (s *simulation) send(carrier, e int, trial bool) {
@@ -201,45 +204,46 @@
 	if s.now.Before(s.stalled[e]) {
 		latency += s.stalled[e].Sub(s.now)
 	}
-	failed := s.random.Float64() < healthyFailing
-	if e == s.sick {
+	failed := s.random.Float64() < healthyFailRate
+	if e == s.unhealthy {
 		s.sent++
-		latency, failed = s.sicken(carrier, latency, failed)
+		latency, failed = s.applyFault(carrier, latency, failed)
 	}
 	if latency >= deadline {
 		latency, failed = deadline, true
 	}
-	s.busy[carrier][e]++
+	s.inFlight[carrier][e]++
 	s.after(latency, func() {
-		s.busy[carrier][e]--
+		s.inFlight[carrier][e]--
 		s.policy.observe(s.now, carrier, e, failed, latency, trial)
-		s.drain(carrier)
+		s.dispatchQueued(carrier)
 	})
 }
 
-func (s *simulation) sicken(carrier int, latency time.Duration, failed bool) (time.Duration, bool) {
+// applyFault returns the latency and the result of a request to the unhealthy endpoint.
+func (s *simulation) applyFault(carrier int, latency time.Duration, failed bool) (time.Duration, bool) {
 	if !s.fault.active(s.now.Sub(s.onset)) {
 		return latency, failed
 	}
 	if s.fault.zone != "" {
-		if s.all[carrier].Zone == s.fault.zone {
+		if s.carriers[carrier].Zone == s.fault.zone {
 			return deadline, true
 		}
 		return latency, failed
 	}
-	return time.Duration(float64(latency) * s.fault.slow), failed || s.random.Float64() < s.fault.failing
+	return time.Duration(float64(latency) * s.fault.slowdown), failed || s.random.Float64() < s.fault.failRate
 }
 
-// start makes an endpoint sick from now on.
-func (s *simulation) start(f fault, endpoint int) {
-	s.fault, s.sick, s.onset = f, endpoint, s.now
+// injectFault starts a fault of an endpoint.
+func (s *simulation) injectFault(f fault, endpoint int) {
+	s.fault, s.unhealthy, s.onset = f, endpoint, s.now
 }
 
-// concerned returns the carriers that send requests to the sick endpoint and meet the fault.
-func (s *simulation) concerned() []int {
+// affectedCarriers returns the carriers whose requests to the unhealthy endpoint meet the fault.
+func (s *simulation) affectedCarriers() []int {
 	var all []int
-	for c := range s.all {
-		if s.limits[c][s.sick] > 0 && (s.fault.zone == "" || s.all[c].Zone == s.fault.zone) {
+	for c := range s.carriers {
+		if s.limits[c][s.unhealthy] > 0 && (s.fault.zone == "" || s.carriers[c].Zone == s.fault.zone) {
 			all = append(all, c)
 		}
 	}
