--- a/internal/demo/windows.go
+++ b/internal/demo/windows.go
@@ -51,7 +51,7 @@
 }
 
 // addWindow counts a violation if the healthy slots that got work are below the floor.
-func (s *windowFindings) addWindow(endpoints []*upstream.Endpoint, excluded map[fleet.Endpoint]bool, floor int, begin, finish time.Time) {
+func (f *windowFindings) addWindow(endpoints []*upstream.Endpoint, excluded map[fleet.Endpoint]bool, floor int, begin, finish time.Time) {
 	inService := 0
 	healthy := 0
 	for _, e := range endpoints {
@@ -64,10 +64,10 @@
 			inService += slots
 			continue
 		}
-		s.endpoints[e.Addr()] = true
+		f.endpoints[e.Addr()] = true
 	}
 	if inService < min(floor, healthy) {
-		s.floorViolations++
+		f.floorViolations++
 	}
 }
 
--- a/internal/measure/health/baselines.go
+++ b/internal/measure/health/baselines.go
@@ -24,29 +24,29 @@
 }
 
 func newLocalPolicy(w workload, carriers int) localPolicy {
-	a := localPolicy{slowLatency: time.Duration(slowFailureFactor * float64(w.latency))}
+	p := localPolicy{slowLatency: time.Duration(slowFailureFactor * float64(w.latency))}
 	for range carriers {
-		a.ejectedUntil = append(a.ejectedUntil, make([]time.Time, w.endpoints))
+		p.ejectedUntil = append(p.ejectedUntil, make([]time.Time, w.endpoints))
 	}
-	return a
+	return p
 }
 
-func (a *localPolicy) eject(now time.Time, carrier, endpoint int) {
-	a.ejectedUntil[carrier][endpoint] = now.Add(baselineEjection)
-	a.ejectionCount++
+func (p *localPolicy) eject(now time.Time, carrier, endpoint int) {
+	p.ejectedUntil[carrier][endpoint] = now.Add(baselineEjection)
+	p.ejectionCount++
 }
 
-func (a *localPolicy) state(now time.Time, carrier, endpoint int) health.State {
-	if now.Before(a.ejectedUntil[carrier][endpoint]) {
+func (p *localPolicy) state(now time.Time, carrier, endpoint int) health.State {
+	if now.Before(p.ejectedUntil[carrier][endpoint]) {
 		return health.StateEjected
 	}
 	return health.StateInService
 }
 
-func (a *localPolicy) tick(time.Time, int)        {}
-func (a *localPolicy) deliver(time.Time, message) {}
-func (a *localPolicy) ejections() int             { return a.ejectionCount }
-func (a *localPolicy) outbox() []message          { return nil }
+func (p *localPolicy) tick(time.Time, int)        {}
+func (p *localPolicy) deliver(time.Time, message) {}
+func (p *localPolicy) ejections() int             { return p.ejectionCount }
+func (p *localPolicy) outbox() []message          { return nil }
 
 // consecutive ejects after a number of failures in a row.
 type consecutive struct {
--- a/internal/measure/health/cost.go
+++ b/internal/measure/health/cost.go
@@ -52,7 +52,7 @@
 	w := workload{service: "service-000", endpoints: count, slots: 4, latency: 50 * time.Millisecond, acceptedRate: 0.001, expectedRate: designRate * float64(count)}
 	all := fleetOf(carrierCount)
 	before := heapBytes()
-	j := newEvaluatorPolicy(w, health.DefaultConfig(), all, epoch)
+	ep := newEvaluatorPolicy(w, health.DefaultConfig(), all, epoch)
 	result := cost{}
 	random := rand.New(rand.NewPCG(1, 1))
 	now := epoch
@@ -61,25 +61,25 @@
 	evidenceBytes, decisionBytes := 0, 0
 	for ; now.Before(epoch.Add(duration)); now = now.Add(50 * time.Millisecond) {
 		for c := range all {
-			observeHealthy(j, random, now, c, w)
-			j.tick(now, c)
-			for _, m := range j.outbox() {
+			observeHealthy(ep, random, now, c, w)
+			ep.tick(now, c)
+			for _, m := range ep.outbox() {
 				n, err := size(wire.KindEvidence, endpoints.ServiceEvidence{Entries: []endpoints.EvidenceEntry{{Service: w.service, Evidence: *m.send.Evidence}}})
 				if err != nil {
 					return cost{}, err
 				}
 				evidenceBytes += n
 				start := time.Now()
-				j.deliver(now, m)
+				ep.deliver(now, m)
 				durations = append(durations, float64(time.Since(start).Nanoseconds()))
 			}
-			for _, m := range j.outbox() {
+			for _, m := range ep.outbox() {
 				n, err := size(wire.KindDecision, endpoints.ServiceDecision{Entries: []endpoints.DecisionEntry{{Service: w.service, Decision: *m.send.Decision}}})
 				if err != nil {
 					return cost{}, err
 				}
 				decisionBytes += n
-				j.deliver(now, m)
+				ep.deliver(now, m)
 			}
 		}
 	}
@@ -89,20 +89,20 @@
 	result.decisionRate = float64(decisionBytes) / duration.Seconds()
 	durations = nil
 	totalBytes := heapBytes() - before
-	j.evaluator = nil
+	ep.evaluator = nil
 	carrierTotal := heapBytes() - before
 	result.stateBytes = totalBytes - carrierTotal
 	result.carrierBytes = carrierTotal / float64(carrierCount)
-	runtime.KeepAlive(j)
+	runtime.KeepAlive(ep)
 	return result, nil
 }
 
 // observeHealthy passes to a carrier its share of the healthy requests of 50 ms.
-func observeHealthy(j *evaluatorPolicy, random *rand.Rand, now time.Time, carrier int, w workload) {
-	mean := designRate * 0.05 / float64(len(j.instances))
+func observeHealthy(ep *evaluatorPolicy, random *rand.Rand, now time.Time, carrier int, w workload) {
+	mean := designRate * 0.05 / float64(len(ep.instances))
 	for e := range w.endpoints {
 		if random.Float64() < mean {
-			j.observe(now, carrier, e, random.Float64() < healthyFailRate, w.healthyLatency(random), false)
+			ep.observe(now, carrier, e, random.Float64() < healthyFailRate, w.healthyLatency(random), false)
 		}
 	}
 }
--- a/internal/measure/health/policy.go
+++ b/internal/measure/health/policy.go
@@ -52,64 +52,64 @@
 		ExpectedRequestsPerSecond:      w.expectedRate,
 	}
 	a := health.Assignment{Generation: 1, Evaluator: instances[0].Ref, Carriers: instances}
-	j := &evaluatorPolicy{evaluator: health.NewEvaluator(instances[0], cfg), self: instances[0], instances: instances, views: make([][]health.EndpointView, len(instances))}
-	j.evaluator.Configure(now, p, a, upstreams)
+	ep := &evaluatorPolicy{evaluator: health.NewEvaluator(instances[0], cfg), self: instances[0], instances: instances, views: make([][]health.EndpointView, len(instances))}
+	ep.evaluator.Configure(now, p, a, upstreams)
 	for i, self := range instances {
 		c := health.NewCarrier(self, cfg)
 		c.Configure(now, p, a, upstreams)
-		j.carriers = append(j.carriers, c)
-		j.views[i] = c.View(now)
+		ep.carriers = append(ep.carriers, c)
+		ep.views[i] = c.View(now)
 	}
 	for _, u := range upstreams {
-		j.endpoints = append(j.endpoints, u.Endpoint)
+		ep.endpoints = append(ep.endpoints, u.Endpoint)
 	}
-	return j
+	return ep
 }
 
-func (j *evaluatorPolicy) observe(now time.Time, carrier, endpoint int, failed bool, latency time.Duration, trial bool) {
-	j.carriers[carrier].Observe(now, health.Attempt{Endpoint: j.endpoints[endpoint], Failed: failed, Latency: latency, Trial: trial})
+func (ep *evaluatorPolicy) observe(now time.Time, carrier, endpoint int, failed bool, latency time.Duration, trial bool) {
+	ep.carriers[carrier].Observe(now, health.Attempt{Endpoint: ep.endpoints[endpoint], Failed: failed, Latency: latency, Trial: trial})
 }
 
-func (j *evaluatorPolicy) tick(now time.Time, carrier int) {
-	j.views[carrier] = j.carriers[carrier].View(now)
-	for _, s := range j.carriers[carrier].Tick(now) {
-		j.pending = append(j.pending, message{carrier: carrier, send: s})
+func (ep *evaluatorPolicy) tick(now time.Time, carrier int) {
+	ep.views[carrier] = ep.carriers[carrier].View(now)
+	for _, s := range ep.carriers[carrier].Tick(now) {
+		ep.pending = append(ep.pending, message{carrier: carrier, send: s})
 	}
 	if carrier == 0 {
-		j.evaluator.Tick(now)
+		ep.evaluator.Tick(now)
 	}
 }
 
-func (j *evaluatorPolicy) deliver(now time.Time, m message) {
+func (ep *evaluatorPolicy) deliver(now time.Time, m message) {
 	if m.send.Evidence == nil {
-		if j.carriers[m.carrier].Deliver(now, j.self.Ref, m.send.Decision) == nil {
-			j.views[m.carrier] = j.carriers[m.carrier].View(now)
+		if ep.carriers[m.carrier].Deliver(now, ep.self.Ref, m.send.Decision) == nil {
+			ep.views[m.carrier] = ep.carriers[m.carrier].View(now)
 		}
 		return
 	}
-	sends, err := j.evaluator.Deliver(now, j.instances[m.carrier].Ref, m.send.Evidence)
+	sends, err := ep.evaluator.Deliver(now, ep.instances[m.carrier].Ref, m.send.Evidence)
 	if err != nil {
 		return
 	}
-	for _, d := range j.evaluator.Transitions() {
+	for _, d := range ep.evaluator.Transitions() {
 		if d.Action == health.ActionEject || d.Action == health.ActionAvoid {
-			j.ejected++
+			ep.ejected++
 		}
 	}
-	if j.peaks != nil {
-		j.peaks.add(j.evaluator.Explain(now))
+	if ep.peaks != nil {
+		ep.peaks.add(ep.evaluator.Explain(now))
 	}
-	j.pending = append(j.pending, message{carrier: m.carrier, send: sends[0]})
+	ep.pending = append(ep.pending, message{carrier: m.carrier, send: sends[0]})
 }
 
-func (j *evaluatorPolicy) state(_ time.Time, carrier, endpoint int) health.State {
-	return j.views[carrier][endpoint].State
+func (ep *evaluatorPolicy) state(_ time.Time, carrier, endpoint int) health.State {
+	return ep.views[carrier][endpoint].State
 }
 
-func (j *evaluatorPolicy) ejections() int { return j.ejected }
+func (ep *evaluatorPolicy) ejections() int { return ep.ejected }
 
-func (j *evaluatorPolicy) outbox() []message {
-	messages := j.pending
-	j.pending = nil
+func (ep *evaluatorPolicy) outbox() []message {
+	messages := ep.pending
+	ep.pending = nil
 	return messages
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -103,7 +103,7 @@
 	return fleet.Upstream{Endpoint: e.addr, Zone: e.spec.Zone, Slots: e.spec.Slots, State: e.State()}
 }
 
-// State returns the endpoint's state: cold, ready or leaving.
+// State returns the endpoint's state: cold, ready or draining.
 func (e *Endpoint) State() fleet.UpstreamState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -158,7 +158,7 @@
 		t.Fatalf("running work: %+v", old)
 	}
 	if e[0].Upstream().State != fleet.UpstreamDraining {
-		t.Fatal("the state is not leaving")
+		t.Fatal("the state is not draining")
 	}
 }
 
