--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -103,7 +103,7 @@
 	return fleet.Upstream{Endpoint: e.addr, Zone: e.spec.Zone, Slots: e.spec.Slots, State: e.State()}
 }
 
-// State returns the endpoint's state: cold, ready or leaving.
+// State returns the endpoint's state: cold, ready or draining.
 func (e *Endpoint) State() fleet.UpstreamState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,7 +113,7 @@
 func (e *Endpoint) stateLocked(now time.Time) fleet.UpstreamState {
 	switch {
 	case !e.drainingSince.IsZero():
-		return fleet.UpstreamLeaving
+		return fleet.UpstreamDraining
 	case now.Sub(e.started) < e.spec.ColdStart:
 		return fleet.UpstreamCold
 	default:
