--- a/cmd/damaskctl/fleet_test.go
+++ b/cmd/damaskctl/fleet_test.go
@@ -70,7 +70,7 @@
 	apply().want(t, exitDone, "accepted as revision 1", "in force on all")
 	ready, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if err := f.Ready(ready, 1); err != nil {
+	if err := f.WaitReady(ready, 1); err != nil {
 		t.Fatal(err)
 	}
 
@@ -92,7 +92,7 @@
 	ctl(context.Background(), "explain", "/fabrics/linen", "--account", "almaty-abay", "--operator", operator).want(t, exitDone, "1000 answered", "fabrics")
 	ctl(context.Background(), "explain", "/cuts", "--account", "fitters-almaty", "--method", "POST", "--operator", operator).want(t, exitDone, "1003")
 
-	entries := strings.Join(f.Entries(), ",")
+	entries := strings.Join(f.EntryAddrs(), ",")
 	for _, line := range [][]string{
 		{"--service", "fabrics", "--path", "/fabrics/linen", "--account", "almaty-abay,almaty-mega"},
 		{"--service", "cuts", "--path", "/cuts", "--account", "almaty-abay", "--method", "POST", "--keyed", "--body", "200"},
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -132,7 +132,7 @@
 		until = c.acceptedAt.Add(firstRequestTimeout)
 	}
 	if !now.Before(until) {
-		if c.br.Buffered() == 0 && sockpeek.Look(c.nc) != sockpeek.Data {
+		if c.br.Buffered() == 0 && sockpeek.Peek(c.nc) != sockpeek.Readable {
 			return false
 		}
 		until = now.Add(limits.HeadTimeout)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -65,7 +65,7 @@
 	pollAt  time.Time
 	askAt   time.Time
 	last    rollout.Counters
-	refused refusals.Tally
+	refused refusals.Publisher
 }
 
 // New returns the duty of an instance without a configuration. ctx bounds its calls of the store.
@@ -191,7 +191,7 @@
 		return
 	}
 	d.last = c
-	refused := d.refused.Report(map[result.Code]uint64{
+	refused := d.refused.Publish(map[result.Code]uint64{
 		result.CodePeerOtherFleet: c.OtherFleet,
 		result.CodePeerMalformed:  c.Malformed + c.Unsolicited,
 		result.CodeConfigDigest:   c.WrongDigest,
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -181,7 +181,7 @@
 	for i, f := range r.firms {
 		r.countRequests(report, f)
 		r.countService(report, f, r.scenes[i])
-		report.CutOffByStop += f.watch.CutOffs()
+		report.CutOffByStop += f.watch.Count()
 		report.ConfigReverts += r.looks[i].counted()
 		report.ConfigInForceMS = max(report.ConfigInForceMS, milliseconds(r.scenes[i].inForce))
 		report.StoreCalls += f.fleet.Platform.Counts().Total
--- a/internal/demo/firm.go
+++ b/internal/demo/firm.go
@@ -66,7 +66,7 @@
 	plan
 	templates *template.Set
 	fleet     *local.Fleet
-	watch     *local.Watch
+	watch     *local.CutOffCounter
 	clients   []*client.Client
 	entries   []string
 	revision  fleet.Revision
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &firm{plan: p, templates: set, watch: local.NewWatch(), random: rand.New(rand.NewPCG(seed, 7))}
+	f := &firm{plan: p, templates: set, watch: local.NewCutOffCounter(), random: rand.New(rand.NewPCG(seed, 7))}
 	f.fleet, err = local.Start(local.Options{
 		Name:            set.Fleet,
 		Zones:           zonesOf(p),
@@ -123,10 +123,10 @@
 			return err
 		}
 	}
-	if err := f.fleet.Ready(ctx, f.revision); err != nil {
+	if err := f.fleet.WaitReady(ctx, f.revision); err != nil {
 		return fmt.Errorf("firm %s: %w", f.name, err)
 	}
-	f.entries = f.fleet.Entries()
+	f.entries = f.fleet.EntryAddrs()
 	return nil
 }
 
@@ -161,7 +161,7 @@
 // newClients makes callers in every zone, which share the watched connections.
 func (f *firm) newClients(seed uint64) error {
 	shared := &http.Client{
-		Transport:     f.watch.Wrap(client.NewHTTP().Transport),
+		Transport:     f.watch.WrapTransport(client.NewHTTP().Transport),
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	accounts := f.accountsForAll()
--- a/internal/demo/revisions.go
+++ b/internal/demo/revisions.go
@@ -44,7 +44,7 @@
 // run asks until ctx ends.
 func (r *revisions) run(ctx context.Context) {
 	for {
-		for _, address := range r.firm.fleet.Entries() {
+		for _, address := range r.firm.fleet.EntryAddrs() {
 			r.ask(ctx, address)
 		}
 		select {
@@ -86,7 +86,7 @@
 
 // everywhere reports whether each instance that runs answers from revision or a later one.
 func (r *revisions) everywhere(revision fleet.Revision) bool {
-	entries := r.firm.fleet.Entries()
+	entries := r.firm.fleet.EntryAddrs()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, address := range entries {
--- a/internal/demo/scenario.go
+++ b/internal/demo/scenario.go
@@ -118,12 +118,12 @@
 
 func (s *scenario) cut(context.Context) error {
 	instances := s.firm.fleet.Instances()
-	s.firm.fleet.Cut(instances[0].ID, instances[1].ID)
+	s.firm.fleet.BlockLink(instances[0].ID, instances[1].ID)
 	return nil
 }
 
 func (s *scenario) heal(context.Context) error {
-	s.firm.fleet.Heal()
+	s.firm.fleet.UnblockLinks()
 	return nil
 }
 
@@ -173,7 +173,7 @@
 // plannedStop stops one of the instances that have no cut, without waiting for it.
 func (s *scenario) plannedStop(context.Context) error {
 	in := s.uncut(0)
-	s.firm.watch.PlannedStop(in.Node().Self().EntryAddr)
+	s.firm.watch.MarkStopping(in.Node().Self().EntryAddr)
 	go func() { s.stopped <- in.Stop() }()
 	return nil
 }
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -62,6 +62,6 @@
 // isIdle reports whether an unused connection is open and has nothing to read. Bytes that
 // arrive between requests belong to no request, so such a connection must not be reused.
 func (c *trackedConn) isIdle() bool {
-	state := sockpeek.Look(c.Conn)
-	return state == sockpeek.Quiet || state == sockpeek.Unknown
+	state := sockpeek.Peek(c.Conn)
+	return state == sockpeek.Idle || state == sockpeek.Unknown
 }
--- a/internal/entry/caller_watch.go
+++ b/internal/entry/caller_watch.go
@@ -39,7 +39,7 @@
 			return
 		default:
 		}
-		if sockpeek.Look(w.conn) == sockpeek.Closed {
+		if sockpeek.Peek(w.conn) == sockpeek.Closed {
 			w.onClose()
 			return
 		}
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -83,8 +83,8 @@
 	if c.br.Buffered() > 0 {
 		return ErrUnsolicitedData
 	}
-	switch sockpeek.Look(c.conn) {
-	case sockpeek.Data:
+	switch sockpeek.Peek(c.conn) {
+	case sockpeek.Readable:
 		return ErrUnsolicitedData
 	case sockpeek.Closed:
 		return ErrClosed
--- a/internal/local/failure_test.go
+++ b/internal/local/failure_test.go
@@ -27,7 +27,7 @@
 // traffic sends orders from several callers until it is stopped.
 type traffic struct {
 	fleet    *Fleet
-	watch    *Watch
+	watch    *CutOffCounter
 	stop     chan struct{}
 	wait     sync.WaitGroup
 	answered atomic.Int64
@@ -39,7 +39,7 @@
 
 func startTraffic(t *testing.T, f *Fleet, callers int) *traffic {
 	t.Helper()
-	r := &traffic{fleet: f, watch: NewWatch(), stop: make(chan struct{})}
+	r := &traffic{fleet: f, watch: NewCutOffCounter(), stop: make(chan struct{})}
 	for n := range callers {
 		c := newWatchedCaller(t, f, r.watch, f.opts.Zones[n%len(f.opts.Zones)])
 		r.wait.Go(func() { r.run(c, n) })
@@ -138,14 +138,14 @@
 	r.await(t, 100)
 	for range 2 {
 		leaving := f.Instances()[1] // The only one of its zone, and so in use.
-		r.watch.PlannedStop(leaving.Node().Self().EntryAddr)
+		r.watch.MarkStopping(leaving.Node().Self().EntryAddr)
 		if err := leaving.Stop(); err != nil {
 			t.Fatal(err)
 		}
 		r.await(t, 100)
 	}
 	audit := r.end(t)
-	if cut := r.watch.CutOffs(); cut > 0 {
+	if cut := r.watch.Count(); cut > 0 {
 		t.Errorf("planned stops cut off %d requests", cut)
 	}
 	if audit.Unknown > 0 || len(r.errors) > 0 {
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Ready(ctx, accepted.Revision); err != nil {
+	if err := f.WaitReady(ctx, accepted.Revision); err != nil {
 		t.Fatal(err)
 	}
 	r.end(t)
@@ -194,7 +194,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Ready(ctx, accepted.Revision); err != nil {
+	if err := f.WaitReady(ctx, accepted.Revision); err != nil {
 		t.Fatal(err)
 	}
 	f.Platform.UpdateFaults(func(x *standin.Faults) { x.Store = standin.OutageRefuse })
@@ -326,14 +326,14 @@
 	f := startFleet(t, 4)
 	instances := f.Instances()
 	unheard := instances[0]
-	f.Cut(unheard.ID, instances[1].ID)
+	f.BlockLink(unheard.ID, instances[1].ID)
 	r := startTraffic(t, f, 6)
 	r.await(t, 300)
 	eventually(t, "every instance holds the unheard one suspect", func() bool {
 		return !slices.ContainsFunc(instances, func(in *Instance) bool { return statusAt(in, unheard.ID) != "suspect" })
 	})
 	r.await(t, 300)
-	f.Heal()
+	f.UnblockLinks()
 	r.await(t, 300)
 	r.end(t)
 	eventually(t, "all instances see each other alive", func() bool {
@@ -390,7 +390,7 @@
 	eventually(t, "the instance runs as another life", func() bool {
 		return struck.Node().Self().Ref.Incarnation > former.Incarnation
 	})
-	if err := f.Ready(ctx, 1); err != nil {
+	if err := f.WaitReady(ctx, 1); err != nil {
 		t.Fatal(err)
 	}
 	r.await(t, 100)
--- a/internal/local/fleet.go
+++ b/internal/local/fleet.go
@@ -250,8 +250,8 @@
 	return running
 }
 
-// Entries returns the callers' addresses of the instances that run.
-func (f *Fleet) Entries() []string {
+// EntryAddrs returns the callers' addresses of the instances that run.
+func (f *Fleet) EntryAddrs() []string {
 	var addresses []string
 	for _, in := range f.Instances() {
 		addresses = append(addresses, in.Node().Self().EntryAddr)
@@ -283,15 +283,15 @@
 	return in.err
 }
 
-// Cut loses every message from one instance to another, in this direction only.
-func (f *Fleet) Cut(from, to fleet.InstanceID) {
+// BlockLink loses every message from one instance to another, in this direction only.
+func (f *Fleet) BlockLink(from, to fleet.InstanceID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cuts[direction{from, to}] = true
 }
 
-// Heal undoes every Cut.
-func (f *Fleet) Heal() {
+// UnblockLinks undoes every Cut.
+func (f *Fleet) UnblockLinks() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	clear(f.cuts)
@@ -303,9 +303,9 @@
 	return f.cuts[direction{from, to}]
 }
 
-// Ready waits until every instance serves revision or a later one, sees every other
+// WaitReady waits until every instance serves revision or a later one, sees every other
 // instance and has an endpoint for each service that it carries.
-func (f *Fleet) Ready(ctx context.Context, revision fleet.Revision) error {
+func (f *Fleet) WaitReady(ctx context.Context, revision fleet.Revision) error {
 	for {
 		behind := f.behind(revision)
 		if behind == "" {
--- a/internal/local/fleet_test.go
+++ b/internal/local/fleet_test.go
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := f.Ready(ctx, accepted.Revision); err != nil {
+	if err := f.WaitReady(ctx, accepted.Revision); err != nil {
 		t.Fatal(err)
 	}
 	return f
@@ -86,17 +86,17 @@
 
 func newCaller(t *testing.T, f *Fleet) *client.Client {
 	t.Helper()
-	return newWatchedCaller(t, f, NewWatch(), "z1")
+	return newWatchedCaller(t, f, NewCutOffCounter(), "z1")
 }
 
 // newWatchedCaller returns a caller whose connections the watch sees.
-func newWatchedCaller(t *testing.T, f *Fleet, w *Watch, zone fleet.Zone) *client.Client {
+func newWatchedCaller(t *testing.T, f *Fleet, w *CutOffCounter, zone fleet.Zone) *client.Client {
 	t.Helper()
 	shared := &http.Client{
-		Transport:     w.Wrap(client.NewHTTP().Transport),
+		Transport:     w.WrapTransport(client.NewHTTP().Transport),
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
-	c, err := client.New(client.Options{Entries: f.Entries(), Account: "brewer", Zone: zone, HTTP: shared})
+	c, err := client.New(client.Options{Entries: f.EntryAddrs(), Account: "brewer", Zone: zone, HTTP: shared})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/local/watch.go
+++ b/internal/local/watch.go
@@ -9,28 +9,28 @@
 	"sync"
 )
 
-// Watch sees the callers' connections: it counts the requests that an instance cut off
+// CutOffCounter sees the callers' connections: it counts the requests that an instance cut off
 // while it made a planned stop. It is safe for concurrent use.
-type Watch struct {
+type CutOffCounter struct {
 	mu       sync.Mutex
 	stopping map[string]bool // Callers' addresses of instances that stop as planned.
 	cutOff   int
 }
 
-// NewWatch returns a watch that counts nothing yet.
-func NewWatch() *Watch {
-	return &Watch{stopping: make(map[string]bool)}
+// NewCutOffCounter returns a watch that counts nothing yet.
+func NewCutOffCounter() *CutOffCounter {
+	return &CutOffCounter{stopping: make(map[string]bool)}
 }
 
-// PlannedStop notes that an instance begins its planned stop.
-func (w *Watch) PlannedStop(address string) {
+// MarkStopping notes that an instance begins its planned stop.
+func (w *CutOffCounter) MarkStopping(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopping[address] = true
 }
 
-// CutOffs returns the requests cut off.
-func (w *Watch) CutOffs() int {
+// Count returns the requests cut off.
+func (w *CutOffCounter) Count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cutOff
@@ -38,7 +38,7 @@
 
 // failed takes a request's error. A connection that could not be made cuts nothing off,
 // nor does a caller that stopped waiting.
-func (w *Watch) failed(address string, err error) {
+func (w *CutOffCounter) failed(address string, err error) {
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 		return
 	}
@@ -53,13 +53,13 @@
 	}
 }
 
-// Wrap returns a transport whose failures the watch sees.
-func (w *Watch) Wrap(next http.RoundTripper) http.RoundTripper {
+// WrapTransport returns a transport whose failures the watch sees.
+func (w *CutOffCounter) WrapTransport(next http.RoundTripper) http.RoundTripper {
 	return &watchedTransport{watch: w, next: next}
 }
 
 type watchedTransport struct {
-	watch *Watch
+	watch *CutOffCounter
 	next  http.RoundTripper
 }
 
@@ -77,7 +77,7 @@
 // watchedBody reports an answer that breaks off.
 type watchedBody struct {
 	io.ReadCloser
-	watch   *Watch
+	watch   *CutOffCounter
 	address string
 }
 
--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -126,7 +126,7 @@
 			return err
 		}
 	}
-	if err := f.Ready(ctx, accepted.Revision); err != nil {
+	if err := f.WaitReady(ctx, accepted.Revision); err != nil {
 		return err
 	}
 	time.Sleep(settle)
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -66,7 +66,7 @@
 	snapshot atomic.Pointer[Snapshot]
 	hints    atomic.Pointer[map[fleet.Ref]fleet.Instance] // From the platform's list and from join requests.
 	reported membership.Counters                          // At the last report.
-	refused  refusals.Tally
+	refused  refusals.Publisher
 }
 
 // New returns the Manager of an instance that has not begun to join. ctx bounds its store calls.
@@ -175,7 +175,7 @@
 		return
 	}
 	m.reported = c
-	m.refused.Report(map[result.Code]uint64{
+	m.refused.Publish(map[result.Code]uint64{
 		result.CodePeerOtherFleet:  c.OtherFleet,
 		result.CodePeerMalformed:   c.Malformed,
 		result.CodePeerIncarnation: c.OldIncarnation + c.Unknown,
--- a/internal/metastore/client/client.go
+++ b/internal/metastore/client/client.go
@@ -81,7 +81,7 @@
 	if len(data) > metastore.MaxValueBytes {
 		return 0, fmt.Errorf("write key %q: %w: %d bytes, at most %d", key, metastore.ErrTooLarge, len(data), metastore.MaxValueBytes)
 	}
-	header := http.Header{protocol.HeaderExpected: {formatID(uint64(expected))}}
+	header := http.Header{protocol.HeaderExpectedVersion: {formatID(uint64(expected))}}
 	if lease != 0 {
 		header.Set(protocol.HeaderLease, formatID(uint64(lease)))
 	}
@@ -125,7 +125,7 @@
 	header := http.Header{}
 	held := c.list.Load()
 	if held != nil {
-		header.Set(protocol.HeaderHeld, formatID(held.Version))
+		header.Set(protocol.HeaderKnownVersion, formatID(held.Version))
 	}
 	answer, _, err := c.send(ctx, http.MethodGet, protocol.PathList, header, nil, protocol.MaxListBytes)
 	if err != nil {
--- a/internal/metastore/client/client_test.go
+++ b/internal/metastore/client/client_test.go
@@ -76,7 +76,7 @@
 	if err := c.KeepAlive(ctx, lease); err != nil {
 		t.Fatal(err)
 	}
-	server.Platform().LapseLease(lease)
+	server.Platform().ExpireLease(lease)
 	want(t, "lapsed lease", c.KeepAlive(ctx, lease), metastore.ErrLeaseLost)
 	_, err = c.Get(ctx, "k")
 	want(t, "key of a lapsed lease", err, metastore.ErrNotFound)
@@ -133,7 +133,7 @@
 	if err != nil || string(value.Data) != "taken" {
 		t.Fatalf("the write took effect: %+v %v", value, err)
 	}
-	if n := server.Platform().Counts().ByOp[metastore.OpSwap]; n != 1 {
+	if n := server.Platform().Counts().ByOp[metastore.OpCompareAndSwap]; n != 1 {
 		t.Fatalf("the write was sent %d times", n)
 	}
 }
--- a/internal/metastore/counted.go
+++ b/internal/metastore/counted.go
@@ -7,12 +7,12 @@
 
 // Operations that Counted and CountedList name.
 const (
-	OpGet       = "get"
-	OpSwap      = "compare-and-swap"
-	OpWatch     = "watch"
-	OpGrant     = "grant-lease"
-	OpKeepAlive = "keep-alive"
-	OpList      = "list"
+	OpGet            = "get"
+	OpCompareAndSwap = "compare-and-swap"
+	OpWatch          = "watch"
+	OpGrantLease     = "grant-lease"
+	OpKeepAlive      = "keep-alive"
+	OpList           = "list"
 )
 
 // Counted returns a Store that calls count with the operation before each call of s.
@@ -38,7 +38,7 @@
 }
 
 func (c *countedStore) CompareAndSwap(ctx context.Context, key string, expected Version, data []byte, lease LeaseID) (Version, error) {
-	c.count(OpSwap)
+	c.count(OpCompareAndSwap)
 	return c.store.CompareAndSwap(ctx, key, expected, data, lease)
 }
 
@@ -48,7 +48,7 @@
 }
 
 func (c *countedStore) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	c.count(OpGrant)
+	c.count(OpGrantLease)
 	return c.store.GrantLease(ctx, ttl)
 }
 
--- a/internal/metastore/protocol/protocol.go
+++ b/internal/metastore/protocol/protocol.go
@@ -22,12 +22,12 @@
 
 // Headers.
 const (
-	HeaderExpected = "If-Match"         // Of PUT: the expected version; 0 when the key shall be absent.
-	HeaderVersion  = "X-Version"        // Of answers: the key's version; 0 when it is absent.
-	HeaderLease    = "X-Lease"          // Of PUT: the lease that removes the key; of answers: the granted lease.
-	HeaderHeld     = "If-None-Match"    // Of GET PathList: the version that the caller holds; 304 says that it is current.
-	HeaderClient   = "X-Client"         // Of requests: the caller's name, for the platform's counts.
-	HeaderError    = "X-Platform-Error" // Of answers that failed: one of the words below.
+	HeaderExpectedVersion = "If-Match"         // Of PUT: the expected version; 0 when the key shall be absent.
+	HeaderVersion         = "X-Version"        // Of answers: the key's version; 0 when it is absent.
+	HeaderLease           = "X-Lease"          // Of PUT: the lease that removes the key; of answers: the granted lease.
+	HeaderKnownVersion    = "If-None-Match"    // Of GET PathList: the version that the caller holds; 304 says that it is current.
+	HeaderClient          = "X-Client"         // Of requests: the caller's name, for the platform's counts.
+	HeaderError           = "X-Platform-Error" // Of answers that failed: one of the words below.
 )
 
 // Words of HeaderError.
@@ -40,8 +40,8 @@
 	ErrorMalformed   = "malformed"   // Nothing was read or written.
 )
 
-// MaxWatch bounds the time that one watch waits; 304 then says that nothing changed.
-const MaxWatch = 30 * time.Second
+// MaxWatchWait bounds the time that one watch waits; 304 then says that nothing changed.
+const MaxWatchWait = 30 * time.Second
 
 // MaxKeyBytes bounds a key.
 const MaxKeyBytes = 512
--- a/internal/metastore/standin/admin.go
+++ b/internal/metastore/standin/admin.go
@@ -15,13 +15,13 @@
 
 // Paths that switch faults and tell counts. They are the stand-in's own, not the platform's.
 const (
-	PathFaults    = "/admin/faults"    // GET and PUT: Faults.
-	PathCounts    = "/admin/counts"    // GET: Counts.
-	PathListing   = "/admin/listing"   // GET and PUT: metastore.Listing, without lag.
-	PathUpstreams = "/admin/upstreams" // PUT: the upstreams of some services, which replace those listed.
-	PathLapse     = "/admin/lapse"     // POST: ends the lease in the parameter, or every lease.
-	ParamLeaseID  = "lease"            // Of PathLapse.
-	maxAdminBytes = protocol.MaxListBytes
+	PathFaults       = "/admin/faults"    // GET and PUT: Faults.
+	PathCounts       = "/admin/counts"    // GET: Counts.
+	PathListing      = "/admin/listing"   // GET and PUT: metastore.Listing, without lag.
+	PathUpstreams    = "/admin/upstreams" // PUT: the upstreams of some services, which replace those listed.
+	PathExpireLeases = "/admin/lapse"     // POST: ends the lease in the parameter, or every lease.
+	ParamLeaseID     = "lease"            // Of PathExpireLeases.
+	maxAdminBytes    = protocol.MaxListBytes
 )
 
 func (s *Server) addAdmin(mux *http.ServeMux) {
@@ -31,7 +31,7 @@
 	mux.HandleFunc("GET "+PathListing, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.platform.Listing()) })
 	mux.HandleFunc("PUT "+PathListing, s.putListing)
 	mux.HandleFunc("PUT "+PathUpstreams, s.putUpstreams)
-	mux.HandleFunc("POST "+PathLapse, s.lapse)
+	mux.HandleFunc("POST "+PathExpireLeases, s.lapse)
 }
 
 func (s *Server) putFaults(w http.ResponseWriter, r *http.Request) {
@@ -70,7 +70,7 @@
 func (s *Server) lapse(w http.ResponseWriter, r *http.Request) {
 	text := r.URL.Query().Get(ParamLeaseID)
 	if text == "" {
-		s.platform.LapseLeases()
+		s.platform.ExpireAllLeases()
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
@@ -79,7 +79,7 @@
 		http.Error(w, fmt.Sprintf("lease %q is no number", text), http.StatusBadRequest)
 		return
 	}
-	s.platform.LapseLease(metastore.LeaseID(id))
+	s.platform.ExpireLease(metastore.LeaseID(id))
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/metastore/standin/counts.go
+++ b/internal/metastore/standin/counts.go
@@ -75,5 +75,5 @@
 }
 
 func isWrite(op string) bool {
-	return op == metastore.OpSwap || op == metastore.OpGrant || op == metastore.OpKeepAlive
+	return op == metastore.OpCompareAndSwap || op == metastore.OpGrantLease || op == metastore.OpKeepAlive
 }
--- a/internal/metastore/standin/platform.go
+++ b/internal/metastore/standin/platform.go
@@ -68,7 +68,7 @@
 
 // CompareAndSwap implements metastore.Store.
 func (p *Platform) CompareAndSwap(ctx context.Context, key string, expected metastore.Version, data []byte, lease metastore.LeaseID) (metastore.Version, error) {
-	if err := p.enter(ctx, metastore.OpSwap); err != nil {
+	if err := p.enter(ctx, metastore.OpCompareAndSwap); err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
@@ -105,7 +105,7 @@
 	if ttl < protocol.MinLeaseTTL || ttl > protocol.MaxLeaseTTL {
 		return 0, fmt.Errorf("%w: lease of %v is outside %v to %v", metastore.ErrUnavailable, ttl, protocol.MinLeaseTTL, protocol.MaxLeaseTTL)
 	}
-	if err := p.enter(ctx, metastore.OpGrant); err != nil {
+	if err := p.enter(ctx, metastore.OpGrantLease); err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
--- a/internal/metastore/standin/platform_test.go
+++ b/internal/metastore/standin/platform_test.go
@@ -112,7 +112,7 @@
 			},
 			"lapse": func(rt *rapid.T) {
 				id := metastore.LeaseID(rapid.IntRange(1, 3).Draw(rt, "lease"))
-				p.LapseLease(id)
+				p.ExpireLease(id)
 				if _, held := leases[id]; held {
 					leases[id] = clock.now
 					expire()
--- a/internal/metastore/standin/server.go
+++ b/internal/metastore/standin/server.go
@@ -39,7 +39,7 @@
 	s := &Server{platform: p, listener: listener, stop: stop, stopped: make(chan struct{})}
 	s.http = &http.Server{
 		Handler:           s.handler(),
-		ReadHeaderTimeout: protocol.MaxWatch,
+		ReadHeaderTimeout: protocol.MaxWatchWait,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 	}
 	go s.run()
@@ -78,7 +78,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			p.Expire()
+			p.ExpireDueLeases()
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		refuse(w, http.StatusBadRequest, protocol.ErrorMalformed, fmt.Errorf("watch %q is no version", after))
 		return
 	}
-	ctx, cancel := context.WithTimeout(callContext(r), protocol.MaxWatch)
+	ctx, cancel := context.WithTimeout(callContext(r), protocol.MaxWatchWait)
 	defer cancel()
 	value, err := s.platform.Watch(ctx, key, metastore.Version(version))
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -133,7 +133,7 @@
 	version, err := s.platform.CompareAndSwap(callContext(r), write.key, write.expected, write.data, write.lease)
 	w.Header().Set(protocol.HeaderVersion, strconv.FormatUint(uint64(version), 10))
 	if err != nil {
-		fail(w, metastore.OpSwap, err)
+		fail(w, metastore.OpCompareAndSwap, err)
 	}
 }
 
@@ -146,7 +146,7 @@
 	}
 	id, err := s.platform.GrantLease(callContext(r), time.Duration(millis)*time.Millisecond)
 	if err != nil {
-		fail(w, metastore.OpGrant, err)
+		fail(w, metastore.OpGrantLease, err)
 		return
 	}
 	w.Header().Set(protocol.HeaderLease, strconv.FormatUint(uint64(id), 10))
@@ -172,7 +172,7 @@
 		fail(w, metastore.OpList, err)
 		return
 	}
-	if r.Header.Get(protocol.HeaderHeld) == strconv.FormatUint(listing.Version, 10) {
+	if r.Header.Get(protocol.HeaderKnownVersion) == strconv.FormatUint(listing.Version, 10) {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
@@ -205,9 +205,9 @@
 	if err != nil {
 		return write{}, err
 	}
-	expected, err := strconv.ParseUint(r.Header.Get(protocol.HeaderExpected), 10, 64)
+	expected, err := strconv.ParseUint(r.Header.Get(protocol.HeaderExpectedVersion), 10, 64)
 	if err != nil {
-		return write{}, fmt.Errorf("%s %q is no version", protocol.HeaderExpected, r.Header.Get(protocol.HeaderExpected))
+		return write{}, fmt.Errorf("%s %q is no version", protocol.HeaderExpectedVersion, r.Header.Get(protocol.HeaderExpectedVersion))
 	}
 	var lease uint64
 	if text := r.Header.Get(protocol.HeaderLease); text != "" {
--- a/internal/metastore/standin/switches.go
+++ b/internal/metastore/standin/switches.go
@@ -31,15 +31,15 @@
 	return p.faults
 }
 
-// LapseLease ends a lease at once, as if its holder had been paused for its time to live.
-func (p *Platform) LapseLease(id metastore.LeaseID) {
+// ExpireLease ends a lease at once, as if its holder had been paused for its time to live.
+func (p *Platform) ExpireLease(id metastore.LeaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.store.lapse(id)
 }
 
-// LapseLeases ends every lease at once.
-func (p *Platform) LapseLeases() {
+// ExpireAllLeases ends every lease at once.
+func (p *Platform) ExpireAllLeases() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.store.leases {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Expire lapses the leases whose time is over. Every call of the store does so too.
-func (p *Platform) Expire() {
+// ExpireDueLeases lapses the leases whose time is over. Every call of the store does so too.
+func (p *Platform) ExpireDueLeases() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.store.expire(p.now())
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -131,7 +131,7 @@
 		apply(t, store, nil, put(large, service("s", i)), fmt.Sprint(i))
 	}
 	before := load(t, store)
-	store.LapseLeases()
+	store.ExpireAllLeases()
 	if after := load(t, store); after.Revision != 5 || len(rollout.Diff(before, after)) != 0 {
 		t.Fatalf("revision %d after the leases of retired shards lapsed", after.Revision)
 	}
--- a/internal/refusals/refusals.go
+++ b/internal/refusals/refusals.go
@@ -11,13 +11,13 @@
 // counts is published as "refused": the number of refusals by code.
 var counts = expvar.NewMap("refused")
 
-// Tally turns a duty's running totals into counts. It is for one goroutine.
-type Tally struct {
+// Publisher turns a duty's running totals into counts. It is for one goroutine.
+type Publisher struct {
 	last map[result.Code]uint64
 }
 
-// Report adds what the totals have grown by since the last call, and reports whether any did.
-func (t *Tally) Report(totals map[result.Code]uint64) bool {
+// Publish adds what the totals have grown by since the last call, and reports whether any did.
+func (t *Publisher) Publish(totals map[result.Code]uint64) bool {
 	grown := false
 	for code, total := range totals {
 		if growth := total - t.last[code]; growth > 0 {
--- a/internal/sockpeek/sockpeek.go
+++ b/internal/sockpeek/sockpeek.go
@@ -11,14 +11,14 @@
 
 // States of a connection.
 const (
-	Unknown State = iota // It cannot be looked at: no socket, or the look failed.
-	Quiet                // Open, with nothing to read.
-	Data                 // Bytes wait.
-	Closed               // The other side has closed it, or it is broken.
+	Unknown  State = iota // It cannot be looked at: no socket, or the look failed.
+	Idle                  // Open, with nothing to read.
+	Readable              // Bytes wait.
+	Closed                // The other side has closed it, or it is broken.
 )
 
-// Look returns the state of a connection. It must not run beside a Read of it.
-func Look(c net.Conn) State {
+// Peek returns the state of a connection. It must not run beside a Read of it.
+func Peek(c net.Conn) State {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
 		return Unknown
@@ -44,10 +44,10 @@
 func result(n int, err error) State {
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EWOULDBLOCK || err == syscall.EINTR:
-		return Quiet
+		return Idle
 	case err != nil || n == 0:
 		return Closed
 	default:
-		return Data
+		return Readable
 	}
 }
--- a/internal/sockpeek/sockpeek_test.go
+++ b/internal/sockpeek/sockpeek_test.go
@@ -21,13 +21,13 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = near.Close() }()
-	if got := Look(near); got != Quiet {
-		t.Errorf("open connection: %d, want %d", got, Quiet)
+	if got := Peek(near); got != Idle {
+		t.Errorf("open connection: %d, want %d", got, Idle)
 	}
 	if _, err := far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, near, Data)
+	await(t, near, Readable)
 	var one [1]byte
 	if _, err := near.Read(one[:]); err != nil || one[0] != 'x' {
 		t.Errorf("the byte that was looked at reads as %q: %v", one, err)
@@ -35,7 +35,7 @@
 	_ = far.Close()
 	await(t, near, Closed)
 	a, _ := net.Pipe()
-	if got := Look(a); got != Unknown {
+	if got := Peek(a); got != Unknown {
 		t.Errorf("a pipe: %d, want %d", got, Unknown)
 	}
 }
@@ -43,9 +43,9 @@
 // await looks until the state is seen; the bound judges no speed.
 func await(t *testing.T, c net.Conn, want State) {
 	t.Helper()
-	for deadline := time.Now().Add(time.Minute); Look(c) != want; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); Peek(c) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("state %d, want %d", Look(c), want)
+			t.Fatalf("state %d, want %d", Peek(c), want)
 		}
 	}
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -29,8 +29,8 @@
 	ExporterOTLP   Exporter = "otlp" // Over HTTP.
 )
 
-// ErrExporter says that the exporter's name is not known.
-var ErrExporter = errors.New("unknown trace exporter")
+// ErrUnknownExporter says that the exporter's name is not known.
+var ErrUnknownExporter = errors.New("unknown trace exporter")
 
 // TraceParentHeader is the header of the W3C trace context.
 const TraceParentHeader = "traceparent"
@@ -79,7 +79,7 @@
 	case ExporterOTLP:
 		return otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(cfg.URL))
 	default:
-		return nil, fmt.Errorf("%w: %q", ErrExporter, cfg.Exporter)
+		return nil, fmt.Errorf("%w: %q", ErrUnknownExporter, cfg.Exporter)
 	}
 }
 
