--- a/internal/metastore/client/bench_test.go
+++ b/internal/metastore/client/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/standin"
 )
 
-// BenchmarkReadList reads the list over loopback, with a change before each read and without one, and
-// tells the bytes of an answer's body.
+// BenchmarkReadList reads the list over loopback, with and without a change before each read, and
+// reports the bytes of a response body.
 func BenchmarkReadList(b *testing.B) {
 	for _, size := range []int{1500, 3000, 6000, 12000} {
 		for _, changed := range []bool{false, true} {
@@ -59,7 +59,7 @@
 	b.ReportMetric(float64(bytes), "body-bytes")
 }
 
-// bodyBytes returns the bytes of the list as it is sent.
+// bodyBytes returns the size of the list as it is sent, compressed.
 func bodyBytes(b *testing.B, addr string) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+addr+protocol.PathList, nil)
 	if err != nil {
--- a/internal/metastore/client/client.go
+++ b/internal/metastore/client/client.go
@@ -19,7 +19,7 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/protocol"
 )
 
-// Bounds of the client's connections.
+// Limits of the client's connections.
 const (
 	dialTimeout        = 2 * time.Second
 	idleTimeout        = 30 * time.Second
@@ -28,10 +28,10 @@
 
 // Client is a metastore.Store and a metastore.List.
 type Client struct {
-	base string
-	name string
-	http *http.Client
-	list atomic.Pointer[metastore.Listing] // As last read; never changed.
+	base        string
+	name        string
+	http        *http.Client
+	lastListing atomic.Pointer[metastore.Listing] // As last read; must not be modified.
 }
 
 var (
@@ -39,8 +39,8 @@
 	_ metastore.List  = (*Client)(nil)
 )
 
-// New returns a client of the platform at addr, an IP number and port. name is
-// told to the platform with each call, for its counts.
+// New returns a client of the platform at addr, an IP address and port. Each call
+// carries name, under which the platform counts calls.
 func New(addr, name string) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -51,7 +51,7 @@
 	return &Client{
 		base: "http://" + addr,
 		name: name,
-		http: &http.Client{Transport: transport, CheckRedirect: refuseRedirect},
+		http: &http.Client{Transport: transport, CheckRedirect: stopAtRedirect},
 	}
 }
 
@@ -65,12 +65,12 @@
 	return c.read(ctx, key, "")
 }
 
-// Watch implements metastore.Store. It asks again each time that the store says that nothing has changed.
+// Watch implements metastore.Store. It repeats the request each time that the store reports no change.
 func (c *Client) Watch(ctx context.Context, key string, after metastore.Version) (metastore.Value, error) {
 	query := "?" + protocol.ParamWatch + "=" + formatID(uint64(after))
 	for {
 		value, err := c.read(ctx, key, query)
-		if !errors.Is(err, errNotChanged) {
+		if !errors.Is(err, errNotModified) {
 			return value, err
 		}
 	}
@@ -85,11 +85,11 @@
 	if lease != 0 {
 		header.Set(protocol.HeaderLease, formatID(uint64(lease)))
 	}
-	answer, err := c.write(ctx, http.MethodPut, keyPath(key), header, data)
+	reply, err := c.write(ctx, http.MethodPut, keyPath(key), header, data)
 	if err != nil {
 		return 0, fmt.Errorf("write key %q at version %d: %w", key, expected, err)
 	}
-	version, err := answer.id(protocol.HeaderVersion)
+	version, err := reply.id(protocol.HeaderVersion)
 	if err != nil {
 		return 0, fmt.Errorf("write key %q: %w: %w", key, metastore.ErrUnknownResult, err)
 	}
@@ -99,11 +99,11 @@
 // GrantLease implements metastore.Store.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (metastore.LeaseID, error) {
 	path := protocol.PathLeases + "?" + protocol.ParamTTL + "=" + strconv.FormatInt(ttl.Milliseconds(), 10)
-	answer, err := c.write(ctx, http.MethodPost, path, http.Header{}, nil)
+	reply, err := c.write(ctx, http.MethodPost, path, http.Header{}, nil)
 	if err != nil {
 		return 0, fmt.Errorf("grant lease of %v: %w", ttl, err)
 	}
-	id, err := answer.id(protocol.HeaderLease)
+	id, err := reply.id(protocol.HeaderLease)
 	if err != nil {
 		return 0, fmt.Errorf("grant lease of %v: %w: %w", ttl, metastore.ErrUnknownResult, err)
 	}
@@ -119,86 +119,86 @@
 	return nil
 }
 
-// Read implements metastore.List. It names the version that it read last, so that the list is sent
-// only when it has changed; the listings that it returns share their entries, which must not be changed.
+// Read implements metastore.List. It sends the version that it read last, so that the response holds
+// the list only when it has changed. The returned listings share their entries, which must not be modified.
 func (c *Client) Read(ctx context.Context) (metastore.Listing, error) {
 	header := http.Header{}
-	held := c.list.Load()
-	if held != nil {
-		header.Set(protocol.HeaderKnownVersion, formatID(held.Version))
+	cached := c.lastListing.Load()
+	if cached != nil {
+		header.Set(protocol.HeaderKnownVersion, formatID(cached.Version))
 	}
-	answer, _, err := c.send(ctx, http.MethodGet, protocol.PathList, header, nil, protocol.MaxListBytes)
+	reply, _, err := c.send(ctx, http.MethodGet, protocol.PathList, header, nil, protocol.MaxListBytes)
 	if err != nil {
 		return metastore.Listing{}, fmt.Errorf("read list: %w: %w", metastore.ErrUnavailable, err)
 	}
-	err = answer.check()
-	if errors.Is(err, errNotChanged) && held != nil {
-		return *held, nil
+	err = reply.check()
+	if errors.Is(err, errNotModified) && cached != nil {
+		return *cached, nil
 	}
 	if err != nil {
-		return metastore.Listing{}, fmt.Errorf("read list: %w", asRead(err))
+		return metastore.Listing{}, fmt.Errorf("read list: %w", readError(err))
 	}
 	listing := new(metastore.Listing)
-	if err := json.Unmarshal(answer.body, listing); err != nil {
-		return metastore.Listing{}, fmt.Errorf("read list of %d bytes: %w: %w", len(answer.body), metastore.ErrUnavailable, err)
+	if err := json.Unmarshal(reply.body, listing); err != nil {
+		return metastore.Listing{}, fmt.Errorf("read list of %d bytes: %w: %w", len(reply.body), metastore.ErrUnavailable, err)
 	}
-	c.list.Store(listing)
+	c.lastListing.Store(listing)
 	return *listing, nil
 }
 
 func (c *Client) read(ctx context.Context, key, query string) (metastore.Value, error) {
-	answer, _, err := c.send(ctx, http.MethodGet, keyPath(key)+query, http.Header{}, nil, metastore.MaxValueBytes)
+	reply, _, err := c.send(ctx, http.MethodGet, keyPath(key)+query, http.Header{}, nil, metastore.MaxValueBytes)
 	if err != nil {
 		return metastore.Value{}, fmt.Errorf("read key %q: %w: %w", key, metastore.ErrUnavailable, err)
 	}
-	if err := answer.check(); err != nil {
-		return metastore.Value{}, fmt.Errorf("read key %q: %w", key, asRead(err))
+	if err := reply.check(); err != nil {
+		return metastore.Value{}, fmt.Errorf("read key %q: %w", key, readError(err))
 	}
-	version, err := answer.id(protocol.HeaderVersion)
+	version, err := reply.id(protocol.HeaderVersion)
 	if err != nil {
 		return metastore.Value{}, fmt.Errorf("read key %q: %w: %w", key, metastore.ErrUnavailable, err)
 	}
-	return metastore.Value{Data: answer.body, Version: metastore.Version(version)}, nil
+	return metastore.Value{Data: reply.body, Version: metastore.Version(version)}, nil
 }
 
-// write sends a call that changes the store, once.
-func (c *Client) write(ctx context.Context, method, path string, header http.Header, body []byte) (reply, error) {
-	answer, sent, err := c.send(ctx, method, path, header, body, metastore.MaxValueBytes)
+// write sends a call that changes the store. It is sent once, as a retry could take effect twice.
+func (c *Client) write(ctx context.Context, method, path string, header http.Header, body []byte) (storeReply, error) {
+	reply, sent, err := c.send(ctx, method, path, header, body, metastore.MaxValueBytes)
 	switch {
 	case err != nil && sent:
-		return reply{}, fmt.Errorf("%w: %w", metastore.ErrUnknownResult, err)
+		return storeReply{}, fmt.Errorf("%w: %w", metastore.ErrUnknownResult, err)
 	case err != nil:
-		return reply{}, fmt.Errorf("%w: %w", metastore.ErrUnavailable, err)
+		return storeReply{}, fmt.Errorf("%w: %w", metastore.ErrUnavailable, err)
 	}
-	return answer, answer.check()
+	return reply, reply.check()
 }
 
-// send makes one call. sent reports whether bytes of the request may have left.
-func (c *Client) send(ctx context.Context, method, path string, header http.Header, body []byte, limit int) (answer reply, sent bool, err error) {
+// send makes one call. sent reports whether any byte of the request may have been sent.
+func (c *Client) send(ctx context.Context, method, path string, header http.Header, body []byte, limit int) (reply storeReply, sent bool, err error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return reply{}, false, err
+		return storeReply{}, false, err
 	}
 	request.Header = header
 	request.Header.Set(protocol.HeaderClient, c.name)
 	response, err := c.http.Do(request)
 	if err != nil {
-		return reply{}, connected.Load(), err
+		return storeReply{}, connected.Load(), err
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, int64(limit)+1))
 	if err != nil {
-		return reply{}, true, fmt.Errorf("read answer: %w", err)
+		return storeReply{}, true, fmt.Errorf("read response: %w", err)
 	}
 	if len(data) > limit {
-		return reply{}, true, fmt.Errorf("answer is over %d bytes", limit)
+		return storeReply{}, true, fmt.Errorf("response exceeds %d bytes", limit)
 	}
-	return reply{status: response.StatusCode, header: response.Header, body: data}, true, nil
+	return storeReply{status: response.StatusCode, header: response.Header, body: data}, true, nil
 }
 
-func refuseRedirect(*http.Request, []*http.Request) error {
+func stopAtRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
--- a/internal/metastore/client/client_test.go
+++ b/internal/metastore/client/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/standin"
 )
 
-func start(t *testing.T) (*Client, *standin.Server) {
+func startClient(t *testing.T) (*Client, *standin.Server) {
 	t.Helper()
 	server, err := standin.Serve(standin.New(standin.Options{}), "127.0.0.1:0")
 	if err != nil {
@@ -29,7 +29,7 @@
 	return client, server
 }
 
-func want(t *testing.T, what string, err, target error) {
+func wantError(t *testing.T, what string, err, target error) {
 	t.Helper()
 	if !errors.Is(err, target) {
 		t.Fatalf("%s: got %v, want %v", what, err, target)
@@ -37,34 +37,34 @@
 }
 
 func TestStoreCalls(t *testing.T) {
-	c, _ := start(t)
+	c, _ := startClient(t)
 	ctx := context.Background()
 	const key = "fleet/a b/head?x=1"
 	_, err := c.Get(ctx, key)
-	want(t, "absent key", err, metastore.ErrNotFound)
+	wantError(t, "absent key", err, metastore.ErrNotFound)
 	version, err := c.CompareAndSwap(ctx, key, 0, []byte("one"), 0)
 	if err != nil || version != 1 {
 		t.Fatalf("first write: %d %v", version, err)
 	}
 	_, err = c.CompareAndSwap(ctx, key, 0, []byte("two"), 0)
-	want(t, "second create", err, metastore.ErrConflict)
+	wantError(t, "second create", err, metastore.ErrConflict)
 	value, err := c.Get(ctx, key)
 	if err != nil || !bytes.Equal(value.Data, []byte("one")) || value.Version != 1 {
 		t.Fatalf("read back: %+v %v", value, err)
 	}
 	_, err = c.CompareAndSwap(ctx, key, 1, make([]byte, metastore.MaxValueBytes+1), 0)
-	want(t, "large value", err, metastore.ErrTooLarge)
+	wantError(t, "value over the largest size", err, metastore.ErrTooLarge)
 	full := make([]byte, metastore.MaxValueBytes)
 	if _, err = c.CompareAndSwap(ctx, key, 1, full, 0); err != nil {
-		t.Fatalf("value at the bound: %v", err)
+		t.Fatalf("value of the largest size: %v", err)
 	}
 	if value, err = c.Get(ctx, key); err != nil || len(value.Data) != metastore.MaxValueBytes {
-		t.Fatalf("read value at the bound: %d bytes, %v", len(value.Data), err)
+		t.Fatalf("read value of the largest size: %d bytes, %v", len(value.Data), err)
 	}
 }
 
 func TestLeases(t *testing.T) {
-	c, server := start(t)
+	c, server := startClient(t)
 	ctx := context.Background()
 	lease, err := c.GrantLease(ctx, time.Minute)
 	if err != nil {
@@ -77,17 +77,17 @@
 		t.Fatal(err)
 	}
 	server.Platform().ExpireLease(lease)
-	want(t, "lapsed lease", c.KeepAlive(ctx, lease), metastore.ErrLeaseLost)
+	wantError(t, "expired lease", c.KeepAlive(ctx, lease), metastore.ErrLeaseLost)
 	_, err = c.Get(ctx, "k")
-	want(t, "key of a lapsed lease", err, metastore.ErrNotFound)
+	wantError(t, "key of an expired lease", err, metastore.ErrNotFound)
 	_, err = c.CompareAndSwap(ctx, "k", 0, nil, lease)
-	want(t, "write under a lapsed lease", err, metastore.ErrLeaseLost)
+	wantError(t, "write under an expired lease", err, metastore.ErrLeaseLost)
 	_, err = c.GrantLease(ctx, 0)
-	want(t, "lease of no time", err, metastore.ErrUnavailable)
+	wantError(t, "lease without a time to live", err, metastore.ErrUnavailable)
 }
 
-func TestWatchSeesTheNextVersion(t *testing.T) {
-	c, server := start(t)
+func TestWatchReturnsTheNextVersion(t *testing.T) {
+	c, server := startClient(t)
 	ctx := context.Background()
 	got := make(chan metastore.Value, 1)
 	go func() {
@@ -106,7 +106,7 @@
 }
 
 func TestWatchEndsWithItsContext(t *testing.T) {
-	c, server := start(t)
+	c, server := startClient(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
@@ -117,29 +117,29 @@
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	want(t, "cancelled watch", <-ended, context.Canceled)
+	wantError(t, "cancelled watch", <-ended, context.Canceled)
 }
 
 func TestLostReplyIsAnUnknownResult(t *testing.T) {
-	c, server := start(t)
+	c, server := startClient(t)
 	ctx := context.Background()
 	server.Platform().UpdateFaults(func(f *standin.Faults) { f.LoseReplies = 1 })
 	_, err := c.CompareAndSwap(ctx, "k", 0, []byte("taken"), 0)
-	want(t, "lost reply", err, metastore.ErrUnknownResult)
+	wantError(t, "lost response", err, metastore.ErrUnknownResult)
 	if errors.Is(err, metastore.ErrUnavailable) {
-		t.Fatalf("a lost reply must not say that nothing was written: %v", err)
+		t.Fatalf("a lost response must not be ErrUnavailable, which means that nothing was written: %v", err)
 	}
 	value, err := c.Get(ctx, "k")
 	if err != nil || string(value.Data) != "taken" {
-		t.Fatalf("the write took effect: %+v %v", value, err)
+		t.Fatalf("the write must have taken effect: %+v %v", value, err)
 	}
 	if n := server.Platform().Counts().ByOp[metastore.OpCompareAndSwap]; n != 1 {
-		t.Fatalf("the write was sent %d times", n)
+		t.Fatalf("the write was sent %d times, want once", n)
 	}
 }
 
-func TestTimeoutOfAWriteIsAnUnknownResult(t *testing.T) {
-	c, server := start(t)
+func TestCancelledWriteIsAnUnknownResult(t *testing.T) {
+	c, server := startClient(t)
 	server.Platform().UpdateFaults(func(f *standin.Faults) { f.Delay = time.Hour })
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -149,28 +149,28 @@
 		cancel()
 	}()
 	_, err := c.CompareAndSwap(ctx, "k", 0, nil, 0)
-	want(t, "write without a reply in time", err, metastore.ErrUnknownResult)
+	wantError(t, "write cancelled before its response", err, metastore.ErrUnknownResult)
 }
 
 func TestOutage(t *testing.T) {
-	c, server := start(t)
+	c, server := startClient(t)
 	ctx := context.Background()
 	for _, outage := range []standin.Outage{standin.OutageRefuse, standin.OutageDrop} {
 		server.Platform().UpdateFaults(func(f *standin.Faults) { f.Store, f.List = outage, outage })
 		_, err := c.Get(ctx, "k")
-		want(t, "read", err, metastore.ErrUnavailable)
+		wantError(t, "read", err, metastore.ErrUnavailable)
 		_, err = c.Read(ctx)
-		want(t, "list", err, metastore.ErrUnavailable)
+		wantError(t, "list", err, metastore.ErrUnavailable)
 		_, err = c.CompareAndSwap(ctx, "k", 0, nil, 0)
 		if outage == standin.OutageRefuse {
-			want(t, "refused write", err, metastore.ErrUnavailable)
+			wantError(t, "refused write", err, metastore.ErrUnavailable)
 		} else {
-			want(t, "dropped write", err, metastore.ErrUnknownResult)
+			wantError(t, "dropped write", err, metastore.ErrUnknownResult)
 		}
 	}
 }
 
-func TestNothingListening(t *testing.T) {
+func TestWriteWithoutServerIsUnavailable(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -179,13 +179,13 @@
 	_ = listener.Close()
 	c := New(addr, "test")
 	_, err = c.CompareAndSwap(context.Background(), "k", 0, nil, 0)
-	want(t, "write without a store", err, metastore.ErrUnavailable)
+	wantError(t, "write without a server", err, metastore.ErrUnavailable)
 	if errors.Is(err, metastore.ErrUnknownResult) {
-		t.Fatalf("no byte left, yet: %v", err)
+		t.Fatalf("no byte was sent, so the result must not be unknown: %v", err)
 	}
 }
 
-func TestForeignAnswerToAWrite(t *testing.T) {
+func TestResponseOfAnotherServer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -197,13 +197,13 @@
 	t.Cleanup(func() { _ = other.Close() })
 	c := New(listener.Addr().String(), "test")
 	_, err = c.CompareAndSwap(context.Background(), "k", 0, nil, 0)
-	want(t, "write answered by something else", err, metastore.ErrUnknownResult)
+	wantError(t, "write to another server", err, metastore.ErrUnknownResult)
 	_, err = c.Get(context.Background(), "k")
-	want(t, "read answered by something else", err, metastore.ErrUnavailable)
+	wantError(t, "read from another server", err, metastore.ErrUnavailable)
 }
 
 func TestList(t *testing.T) {
-	c, server := start(t)
+	c, server := startClient(t)
 	server.Platform().SetListing(metastore.Listing{
 		Upstreams: map[fleet.Service][]fleet.Upstream{"stock": {{Endpoint: "127.0.0.1:9", Slots: 4, State: fleet.UpstreamReady}}},
 	})
@@ -213,8 +213,8 @@
 	}
 }
 
-func TestListIsSentOnlyWhenItChanged(t *testing.T) {
-	c, server := start(t)
+func TestUnchangedListIsNotSentAgain(t *testing.T) {
+	c, server := startClient(t)
 	ctx := context.Background()
 	for version := range uint64(3) {
 		for range 3 {
@@ -228,7 +228,7 @@
 		})
 	}
 	if n := server.Platform().Counts().ByOp[metastore.OpList]; n != 9 {
-		t.Fatalf("%d reads were counted", n)
+		t.Fatalf("%d reads were counted, want 9", n)
 	}
 	request, _ := http.NewRequest(http.MethodGet, "http://"+server.Addr()+"/v1/list", nil)
 	request.Header.Set("If-None-Match", "3")
@@ -242,8 +242,8 @@
 	}
 }
 
-func TestAdminSwitchesFaults(t *testing.T) {
-	_, server := start(t)
+func TestAdminSetsFaults(t *testing.T) {
+	_, server := startClient(t)
 	body, _ := json.Marshal(standin.Faults{Store: standin.OutageRefuse})
 	for _, step := range []struct {
 		body   string
@@ -260,6 +260,6 @@
 		}
 	}
 	if server.Platform().Faults().Store != standin.OutageRefuse {
-		t.Fatal("the fault was not switched")
+		t.Fatal("the fault was not set")
 	}
 }
--- a/internal/metastore/client/doc.go
+++ b/internal/metastore/client/doc.go
@@ -1,11 +1,11 @@
-// Package client reaches the platform's store and instance list over HTTP.
+// Package client is the HTTP client of the platform's store and instance list.
 //
-// Each error of a Client is one of the platform package's errors, by errors.Is:
+// Each error of a Client wraps one of the metastore package's errors, for errors.Is:
 //
-//   - platform.ErrUnavailable: the call was not taken, nothing was written;
-//   - platform.ErrUnknownResult: a write was sent and no reply of the store came back;
-//   - platform.ErrNotFound, ErrConflict, ErrTooLarge, ErrLeaseLost: the store's own reply.
+//   - metastore.ErrUnavailable: the call was not executed and nothing was written;
+//   - metastore.ErrUnknownResult: a write was sent and the store's response did not arrive;
+//   - metastore.ErrNotFound, ErrConflict, ErrTooLarge, ErrLeaseLost: the store's response.
 //
-// Calls end with their context and have no time limit of their own. A write is
-// never sent twice by this package.
+// Calls end with their context and have no timeout of their own. The package never
+// retries a write.
 package client
--- a/internal/metastore/client/reply.go
+++ b/internal/metastore/client/reply.go
@@ -10,21 +10,21 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/protocol"
 )
 
-// errNotChanged says that a watch ended without a change.
-var errNotChanged = errors.New("key not changed")
+// errNotModified means status 304: a watch ended without a change, or the cached list is current.
+var errNotModified = errors.New("not modified")
 
-// reply is one whole answer of the platform.
-type reply struct {
+// storeReply is one complete response of the platform.
+type storeReply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// check returns nil for a call that succeeded, else the error that the answer stands for.
-// An answer that the protocol does not know leaves the result unknown.
-func (r reply) check() error {
+// check returns nil for a call that succeeded, otherwise the error that the response reports.
+// A response that the protocol does not define leaves the result unknown.
+func (r storeReply) check() error {
 	if r.status == http.StatusNotModified {
-		return errNotChanged
+		return errNotModified
 	}
 	if r.status >= http.StatusOK && r.status < http.StatusMultipleChoices {
 		return nil
@@ -46,19 +46,19 @@
 	}
 }
 
-// id returns a number from a header.
-func (r reply) id(name string) (uint64, error) {
+// id parses a version or lease ID from a header.
+func (r storeReply) id(name string) (uint64, error) {
 	text := r.header.Get(name)
 	id, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("header %s %q is no number", name, text)
+		return 0, fmt.Errorf("header %s %q is not a number", name, text)
 	}
 	return id, nil
 }
 
-// asRead turns an unknown result into a failed call: a read has no effect to be unsure of.
-func asRead(err error) error {
-	if errors.Is(err, metastore.ErrUnknownResult) || errors.Is(err, errNotChanged) {
+// readError turns an unknown result into ErrUnavailable, as a read has no effect that could be in doubt.
+func readError(err error) error {
+	if errors.Is(err, metastore.ErrUnknownResult) || errors.Is(err, errNotModified) {
 		return fmt.Errorf("%w: %s", metastore.ErrUnavailable, err)
 	}
 	return err
--- a/internal/metastore/counted.go
+++ b/internal/metastore/counted.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Operations that Counted and CountedList name.
+// Names of the operations that Counted and CountedList report.
 const (
 	OpGet            = "get"
 	OpCompareAndSwap = "compare-and-swap"
--- a/internal/metastore/platform.go
+++ b/internal/metastore/platform.go
@@ -1,9 +1,9 @@
-// Package metastore is what the fleet needs of the platform it runs on: a small
-// key-value store with compare-and-swap, leases and watches, and a list of live
-// and leaving instances that lags.
+// Package metastore defines what the fleet needs from the platform that it runs on: a
+// small key-value store with compare-and-swap, leases and watches, and a list of live
+// and leaving instances that may be seconds out of date.
 //
-// Store and List are the interfaces. Package metastore/client reaches the platform
-// over HTTP; package platform/standin is a stand-in of the platform with faults.
+// Store and List are the interfaces. Package metastore/client implements them over
+// HTTP; package metastore/standin emulates the platform, with fault injection.
 package metastore
 
 import (
@@ -14,61 +14,61 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// MaxValueBytes is the largest value that the store holds.
+// MaxValueBytes is the largest value that the store accepts.
 const MaxValueBytes = 1 << 20
 
-// Errors of a Store. Others wrap what the transport said and mean that the call failed.
+// Errors of a Store. Any other error comes from the transport and means that the call failed.
 var (
-	// ErrNotFound says that the key holds nothing.
+	// ErrNotFound means that the key is absent.
 	ErrNotFound = errors.New("key not found")
-	// ErrConflict says that the key's version was not the expected one; nothing was written.
+	// ErrConflict means that the key's version was not the expected one; nothing was written.
 	ErrConflict = errors.New("version conflict")
-	// ErrUnknownResult says that a write may or may not have taken effect.
+	// ErrUnknownResult means that a write may or may not have taken effect.
 	ErrUnknownResult = errors.New("write result unknown")
-	// ErrUnavailable says that the store did not take the call; nothing was written.
+	// ErrUnavailable means that the store did not execute the call; nothing was written.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrTooLarge says that a value is over MaxValueBytes.
+	// ErrTooLarge means that a value is larger than MaxValueBytes.
 	ErrTooLarge = errors.New("value too large")
-	// ErrLeaseLost says that the lease has lapsed.
+	// ErrLeaseLost means that the lease has expired.
 	ErrLeaseLost = errors.New("lease lost")
 )
 
 // Version numbers the writes of one key, starting at 1. Zero means that the key is absent.
 type Version uint64
 
-// LeaseID names a lease of the store.
+// LeaseID identifies a lease of the store.
 type LeaseID uint64
 
-// Value is what a key holds.
+// Value is the data and version of a key.
 type Value struct {
 	Data    []byte
 	Version Version
 }
 
-// Store is the platform's key-value store. Every call is counted by the platform, a waiting Watch as one.
+// Store is the platform's key-value store. The platform counts every call; a Watch counts once however long it waits.
 type Store interface {
 	// Get reads a key. It returns ErrNotFound when the key is absent.
 	Get(ctx context.Context, key string) (Value, error)
 	// CompareAndSwap writes a key whose version is expected, and returns the new version.
-	// A non-zero lease removes the key when the lease lapses.
+	// The key is removed when a non-zero lease expires.
 	CompareAndSwap(ctx context.Context, key string, expected Version, data []byte, lease LeaseID) (Version, error)
-	// Watch waits until the key's version is not after, or ctx ends, and returns the value then held.
+	// Watch waits until the key's version differs from after, or ctx ends, and returns the key's value.
 	Watch(ctx context.Context, key string, after Version) (Value, error)
-	// GrantLease returns a lease that lapses ttl after its last KeepAlive.
+	// GrantLease returns a lease that expires ttl after its last KeepAlive.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease. It returns ErrLeaseLost when the lease has lapsed.
+	// KeepAlive renews a lease. It returns ErrLeaseLost when the lease has expired.
 	KeepAlive(ctx context.Context, lease LeaseID) error
 }
 
-// Listing is the platform's list of live and leaving instances. It lags.
+// Listing is the platform's list of live and leaving instances, which may be out of date.
 type Listing struct {
 	Version   uint64                             `json:"version"`
 	Upstreams map[fleet.Service][]fleet.Upstream `json:"upstreams"`
-	Instances []fleet.Instance                   `json:"instances"` // The fleet's own, as the platform started them.
+	Instances []fleet.Instance                   `json:"instances"` // The fleet's own instances, as the platform started them.
 }
 
 // List reads the platform's list.
 type List interface {
-	// Read returns the list as the platform sees it now, which may be seconds old.
+	// Read returns the platform's current list, which may be seconds out of date.
 	Read(ctx context.Context) (Listing, error)
 }
--- a/internal/metastore/protocol/protocol.go
+++ b/internal/metastore/protocol/protocol.go
@@ -1,5 +1,6 @@
-// Package protocol holds the names of the platform's HTTP protocol, which package
-// platform/client speaks and package platform/standin answers.
+// Package protocol defines the paths, headers and limits of the platform's HTTP
+// protocol. Package metastore/client sends the requests and package
+// metastore/standin serves them.
 //
 // docs/design/30-platform-protocol.md describes each call.
 package protocol
@@ -16,21 +17,21 @@
 
 // Query parameters.
 const (
-	ParamWatch = "watch"  // Of GET PathKeys: the version that the caller holds.
+	ParamWatch = "watch"  // Of GET PathKeys: the last version that the caller has read; the call waits for another.
 	ParamTTL   = "ttl_ms" // Of POST PathLeases: milliseconds.
 )
 
 // Headers.
 const (
-	HeaderExpectedVersion = "If-Match"         // Of PUT: the expected version; 0 when the key shall be absent.
-	HeaderVersion         = "X-Version"        // Of answers: the key's version; 0 when it is absent.
-	HeaderLease           = "X-Lease"          // Of PUT: the lease that removes the key; of answers: the granted lease.
-	HeaderKnownVersion    = "If-None-Match"    // Of GET PathList: the version that the caller holds; 304 says that it is current.
-	HeaderClient          = "X-Client"         // Of requests: the caller's name, for the platform's counts.
-	HeaderError           = "X-Platform-Error" // Of answers that failed: one of the words below.
+	HeaderExpectedVersion = "If-Match"         // Of PUT: the expected version; 0 when the key must be absent.
+	HeaderVersion         = "X-Version"        // Of responses: the key's version; 0 when the key is absent.
+	HeaderLease           = "X-Lease"          // Of PUT: the lease whose expiry removes the key; of responses: the granted lease.
+	HeaderKnownVersion    = "If-None-Match"    // Of GET PathList: the version that the caller has cached; the status is 304 while it is current.
+	HeaderClient          = "X-Client"         // Of requests: the caller's name, under which the platform counts calls.
+	HeaderError           = "X-Platform-Error" // Of error responses: one of the Error values below.
 )
 
-// Words of HeaderError.
+// Values of HeaderError.
 const (
 	ErrorNotFound    = "not-found"
 	ErrorConflict    = "conflict"
@@ -40,16 +41,17 @@
 	ErrorMalformed   = "malformed"   // Nothing was read or written.
 )
 
-// MaxWatchWait bounds the time that one watch waits; 304 then says that nothing changed.
+// MaxWatchWait bounds the time that one watch request waits. The response is then 304
+// when the key has not changed.
 const MaxWatchWait = 30 * time.Second
 
-// MaxKeyBytes bounds a key.
+// MaxKeyBytes is the longest key.
 const MaxKeyBytes = 512
 
-// MaxListBytes bounds the encoded list of instances.
+// MaxListBytes is the largest encoded instance list.
 const MaxListBytes = 16 << 20
 
-// MinLeaseTTL and MaxLeaseTTL bound the time to live of a lease.
+// MinLeaseTTL and MaxLeaseTTL are the limits of a lease's time to live.
 const (
 	MinLeaseTTL = 10 * time.Millisecond
 	MaxLeaseTTL = time.Hour
--- a/internal/metastore/standin/admin.go
+++ b/internal/metastore/standin/admin.go
@@ -13,25 +13,25 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/protocol"
 )
 
-// Paths that switch faults and tell counts. They are the stand-in's own, not the platform's.
+// Paths of the fault injection and call counts. The real platform does not have them.
 const (
 	PathFaults       = "/admin/faults"    // GET and PUT: Faults.
 	PathCounts       = "/admin/counts"    // GET: Counts.
 	PathListing      = "/admin/listing"   // GET and PUT: metastore.Listing, without lag.
-	PathUpstreams    = "/admin/upstreams" // PUT: the upstreams of some services, which replace those listed.
-	PathExpireLeases = "/admin/lapse"     // POST: ends the lease in the parameter, or every lease.
+	PathUpstreams    = "/admin/upstreams" // PUT: the upstreams of some services, which replace the listed ones of these services.
+	PathExpireLeases = "/admin/lapse"     // POST: expires the lease of ParamLeaseID, or every lease without it.
 	ParamLeaseID     = "lease"            // Of PathExpireLeases.
 	maxAdminBytes    = protocol.MaxListBytes
 )
 
-func (s *Server) addAdmin(mux *http.ServeMux) {
+func (s *Server) registerAdminRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathFaults, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.platform.Faults()) })
 	mux.HandleFunc("PUT "+PathFaults, s.putFaults)
 	mux.HandleFunc("GET "+PathCounts, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.platform.Counts()) })
 	mux.HandleFunc("GET "+PathListing, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.platform.Listing()) })
 	mux.HandleFunc("PUT "+PathListing, s.putListing)
 	mux.HandleFunc("PUT "+PathUpstreams, s.putUpstreams)
-	mux.HandleFunc("POST "+PathExpireLeases, s.lapse)
+	mux.HandleFunc("POST "+PathExpireLeases, s.expireLeases)
 }
 
 func (s *Server) putFaults(w http.ResponseWriter, r *http.Request) {
@@ -67,7 +67,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) lapse(w http.ResponseWriter, r *http.Request) {
+func (s *Server) expireLeases(w http.ResponseWriter, r *http.Request) {
 	text := r.URL.Query().Get(ParamLeaseID)
 	if text == "" {
 		s.platform.ExpireAllLeases()
--- a/internal/metastore/standin/counts.go
+++ b/internal/metastore/standin/counts.go
@@ -7,10 +7,10 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// rateWindow is the time over which Counts gives rates.
+// rateWindow is the time over which Counts averages the call rates.
 const rateWindow = 10 * time.Second
 
-// Counts are the calls that the platform has taken, a waiting watch as one.
+// Counts are the calls that the platform has received. A watch counts once however long it waits.
 type Counts struct {
 	Total     uint64            `json:"total"`
 	Reads     uint64            `json:"reads"`  // Get, watch and list.
@@ -21,7 +21,7 @@
 	WriteRate float64           `json:"write_rate"` // Per second over the last ten seconds.
 }
 
-// counter counts calls. Its caller serialises all calls.
+// counter counts the platform's calls. The caller must serialise access.
 type counter struct {
 	counts Counts
 	recent []call // Of the last rateWindow, oldest first.
--- a/internal/metastore/standin/faults.go
+++ b/internal/metastore/standin/faults.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Outage says how the platform fails to answer.
+// Outage is the way in which the platform fails calls.
 type Outage string
 
 // Kinds of outage.
 const (
 	OutageNone   Outage = ""
-	OutageRefuse Outage = "refuse" // Each call is answered at once: not taken.
-	OutageDrop   Outage = "drop"   // Each call's connection is closed without an answer; nothing is written.
+	OutageRefuse Outage = "refuse" // Each call fails at once with ErrUnavailable.
+	OutageDrop   Outage = "drop"   // Each call's connection is closed without a response; nothing is written.
 )
 
-// Faults are the faults under way. The zero value has none.
+// Faults are the injected faults. The zero value injects none.
 type Faults struct {
 	Store       Outage        `json:"store"`        // Of the key-value store.
 	List        Outage        `json:"list"`         // Of the instance list.
 	Delay       time.Duration `json:"delay"`        // Before each call takes effect, in nanoseconds in JSON.
-	LoseReplies int           `json:"lose_replies"` // Writes still to take effect without a reply.
+	LoseReplies int           `json:"lose_replies"` // Number of further writes that take effect but whose response is lost.
 	ListLag     time.Duration `json:"list_lag"`     // Age of the list that Read returns, in nanoseconds in JSON.
 }
 
--- a/internal/metastore/standin/list.go
+++ b/internal/metastore/standin/list.go
@@ -7,39 +7,39 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// history keeps the listings that a lagging reader may still be given. Its caller serialises all calls.
+// history keeps the listings that a lagging reader may still receive. The caller must serialise all calls.
 type history struct {
-	entries []datedListing // Oldest first; never empty.
+	entries []historyEntry // Oldest first; never empty.
 }
 
-type datedListing struct {
+type historyEntry struct {
 	since   time.Time
 	listing metastore.Listing
 }
 
 func newHistory(now time.Time) *history {
 	empty := metastore.Listing{Upstreams: map[fleet.Service][]fleet.Upstream{}}
-	return &history{entries: []datedListing{{since: now, listing: empty}}}
+	return &history{entries: []historyEntry{{since: now, listing: empty}}}
 }
 
 func (h *history) latest() metastore.Listing {
 	return h.entries[len(h.entries)-1].listing
 }
 
-// at returns the listing that was in force lag ago, and forgets those before it.
+// at returns the listing that was current lag ago, and discards the older ones.
 func (h *history) at(now time.Time, lag time.Duration) metastore.Listing {
-	seen := now.Add(-lag)
-	for len(h.entries) > 1 && !h.entries[1].since.After(seen) {
+	cutoff := now.Add(-lag)
+	for len(h.entries) > 1 && !h.entries[1].since.After(cutoff) {
 		h.entries = h.entries[1:]
 	}
 	return h.entries[0].listing
 }
 
-// set records a listing and gives it the next version.
+// set appends a listing with the next version.
 func (h *history) set(now time.Time, listing metastore.Listing) {
 	listing = copyListing(listing)
 	listing.Version = h.latest().Version + 1
-	h.entries = append(h.entries, datedListing{since: now, listing: listing})
+	h.entries = append(h.entries, historyEntry{since: now, listing: listing})
 }
 
 func copyListing(l metastore.Listing) metastore.Listing {
--- a/internal/metastore/standin/platform.go
+++ b/internal/metastore/standin/platform.go
@@ -11,24 +11,24 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/protocol"
 )
 
-// Options are the parameters of a Platform.
+// Options configure a Platform.
 type Options struct {
 	Now    func() time.Time                           // Clock of leases, counts and the list's lag; nil for time.Now.
 	Sleep  func(ctx context.Context, d time.Duration) // Waits for Faults.Delay; nil for a timer.
 	Faults Faults                                     // At the start.
 }
 
-// Platform is the stand-in. It is safe for concurrent use.
+// Platform emulates the platform in memory. It is safe for concurrent use.
 type Platform struct {
 	now   func() time.Time
 	sleep func(ctx context.Context, d time.Duration)
 
-	mu      sync.Mutex
-	store   *store
-	history *history
-	counter *counter
-	faults  Faults
-	faulted chan struct{} // Closed when faults change, so that waiting watches look again.
+	mu            sync.Mutex
+	store         *store
+	history       *history
+	counter       *counter
+	faults        Faults
+	faultsChanged chan struct{} // Closed and replaced when the faults change, so that waiting watches check for an outage.
 }
 
 var (
@@ -36,7 +36,7 @@
 	_ metastore.List  = (*Platform)(nil)
 )
 
-// New returns a platform that holds no key and lists nothing.
+// New returns a platform without keys and with an empty list.
 func New(o Options) *Platform {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -45,57 +45,57 @@
 		o.Sleep = sleep
 	}
 	return &Platform{
-		now:     o.Now,
-		sleep:   o.Sleep,
-		store:   newStore(),
-		history: newHistory(o.Now()),
-		counter: newCounter(),
-		faults:  o.Faults,
-		faulted: make(chan struct{}),
+		now:           o.Now,
+		sleep:         o.Sleep,
+		store:         newStore(),
+		history:       newHistory(o.Now()),
+		counter:       newCounter(),
+		faults:        o.Faults,
+		faultsChanged: make(chan struct{}),
 	}
 }
 
 // Get implements metastore.Store.
 func (p *Platform) Get(ctx context.Context, key string) (metastore.Value, error) {
-	if err := p.enter(ctx, metastore.OpGet); err != nil {
+	if err := p.beginCall(ctx, metastore.OpGet); err != nil {
 		return metastore.Value{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.store.expire(p.now())
+	p.store.expireDue(p.now())
 	return p.store.record(key).value(key)
 }
 
 // CompareAndSwap implements metastore.Store.
 func (p *Platform) CompareAndSwap(ctx context.Context, key string, expected metastore.Version, data []byte, lease metastore.LeaseID) (metastore.Version, error) {
-	if err := p.enter(ctx, metastore.OpCompareAndSwap); err != nil {
+	if err := p.beginCall(ctx, metastore.OpCompareAndSwap); err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.store.expire(p.now())
-	version, err := p.store.swap(key, expected, data, lease)
+	p.store.expireDue(p.now())
+	version, err := p.store.compareAndSwap(key, expected, data, lease)
 	if err != nil {
 		return version, err
 	}
-	return version, p.loseReply("write of key " + key)
+	return version, p.replyError("write of key " + key)
 }
 
 // Watch implements metastore.Store.
 func (p *Platform) Watch(ctx context.Context, key string, after metastore.Version) (metastore.Value, error) {
-	if err := p.enter(ctx, metastore.OpWatch); err != nil {
+	if err := p.beginCall(ctx, metastore.OpWatch); err != nil {
 		return metastore.Value{}, err
 	}
 	for {
-		value, waits, err := p.poll(key, after)
-		if waits == nil {
+		value, signals, err := p.poll(key, after)
+		if signals == nil {
 			return value, err
 		}
 		select {
 		case <-ctx.Done():
 			return metastore.Value{}, fmt.Errorf("%w: watch of key %q: %w", metastore.ErrUnavailable, key, ctx.Err())
-		case <-waits.changed:
-		case <-waits.faulted:
+		case <-signals.keyChanged:
+		case <-signals.faultsChanged:
 		}
 	}
 }
@@ -105,32 +105,32 @@
 	if ttl < protocol.MinLeaseTTL || ttl > protocol.MaxLeaseTTL {
 		return 0, fmt.Errorf("%w: lease of %v is outside %v to %v", metastore.ErrUnavailable, ttl, protocol.MinLeaseTTL, protocol.MaxLeaseTTL)
 	}
-	if err := p.enter(ctx, metastore.OpGrantLease); err != nil {
+	if err := p.beginCall(ctx, metastore.OpGrantLease); err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id := p.store.grant(p.now(), ttl)
-	return id, p.loseReply("grant of a lease")
+	return id, p.replyError("grant of a lease")
 }
 
 // KeepAlive implements metastore.Store.
 func (p *Platform) KeepAlive(ctx context.Context, lease metastore.LeaseID) error {
-	if err := p.enter(ctx, metastore.OpKeepAlive); err != nil {
+	if err := p.beginCall(ctx, metastore.OpKeepAlive); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.store.expire(p.now())
+	p.store.expireDue(p.now())
 	if err := p.store.keepAlive(p.now(), lease); err != nil {
 		return err
 	}
-	return p.loseReply("renewal of a lease")
+	return p.replyError("renewal of a lease")
 }
 
 // Read implements metastore.List.
 func (p *Platform) Read(ctx context.Context) (metastore.Listing, error) {
-	if err := p.enter(ctx, metastore.OpList); err != nil {
+	if err := p.beginCall(ctx, metastore.OpList); err != nil {
 		return metastore.Listing{}, err
 	}
 	p.mu.Lock()
@@ -138,33 +138,33 @@
 	return copyListing(p.history.at(p.now(), p.faults.ListLag)), nil
 }
 
-// errDropped says that a read's connection is to be closed without an answer.
+// errDropped makes the server close a read's connection without a response.
 var errDropped = errors.New("call dropped")
 
-// waits are the channels that end a watch's wait.
-type waits struct {
-	changed <-chan struct{}
-	faulted <-chan struct{}
+// watchSignals are the channels that make a waiting watch check again.
+type watchSignals struct {
+	keyChanged    <-chan struct{}
+	faultsChanged <-chan struct{}
 }
 
-// poll returns the key's value when its version is not after, else the channels to wait for.
-func (p *Platform) poll(key string, after metastore.Version) (metastore.Value, *waits, error) {
+// poll returns the key's value when its version differs from after, otherwise the channels to wait for.
+func (p *Platform) poll(key string, after metastore.Version) (metastore.Value, *watchSignals, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := outageError(p.faults.Store, metastore.OpWatch); err != nil {
 		return metastore.Value{}, nil, err
 	}
-	p.store.expire(p.now())
+	p.store.expireDue(p.now())
 	r := p.store.record(key)
 	if r.version == after {
-		return metastore.Value{}, &waits{changed: r.changed, faulted: p.faulted}, nil
+		return metastore.Value{}, &watchSignals{keyChanged: r.changed, faultsChanged: p.faultsChanged}, nil
 	}
 	value, err := r.value(key)
 	return value, nil, err
 }
 
-// enter counts a call, makes it wait, and refuses it during an outage.
-func (p *Platform) enter(ctx context.Context, op string) error {
+// beginCall counts a call, applies Faults.Delay, and returns an error during an outage.
+func (p *Platform) beginCall(ctx context.Context, op string) error {
 	p.mu.Lock()
 	p.counter.add(p.now(), op, clientName(ctx))
 	delay := p.faults.Delay
@@ -183,8 +183,9 @@
 	return outageError(p.faults.Store, op)
 }
 
-// loseReply uses up one of the replies to be lost. The write has taken effect.
-func (p *Platform) loseReply(what string) error {
+// replyError returns ErrUnknownResult while Faults.LoseReplies is above zero, and decrements it.
+// The caller's write has taken effect. p.mu must be held.
+func (p *Platform) replyError(what string) error {
 	if p.faults.LoseReplies == 0 {
 		return nil
 	}
--- a/internal/metastore/standin/platform_test.go
+++ b/internal/metastore/standin/platform_test.go
@@ -12,17 +12,17 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// fakeClock is a clock that moves when told.
+// fakeClock is a manually advanced clock.
 type fakeClock struct{ now time.Time }
 
 func (c *fakeClock) time() time.Time { return c.now }
 
-func newFake() (*Platform, *fakeClock) {
+func newPlatform() (*Platform, *fakeClock) {
 	clock := &fakeClock{now: time.Unix(1000, 0)}
 	return New(Options{Now: clock.time}), clock
 }
 
-// storeModel is what a writer may believe of one key.
+// storeModel is the expected state of one key.
 type storeModel struct {
 	present bool
 	data    byte
@@ -40,10 +40,10 @@
 	m.version = 0
 }
 
-// TestStoreAgainstModel checks swaps, lost replies, leases and lapses of one key.
+// TestStoreAgainstModel checks compare-and-swap, lost responses, leases and their expiry on one key.
 func TestStoreAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		p, clock := newFake()
+		p, clock := newPlatform()
 		ctx := context.Background()
 		model := &storeModel{}
 		leases := map[metastore.LeaseID]time.Time{0: {}}
@@ -69,11 +69,11 @@
 				}
 				version, err := p.CompareAndSwap(ctx, "k", expected, []byte{data}, lease)
 				p.UpdateFaults(func(f *Faults) { f.LoseReplies = 0 })
-				_, held := leases[lease]
+				_, active := leases[lease]
 				switch {
-				case !held:
+				case !active:
 					if !errors.Is(err, metastore.ErrLeaseLost) {
-						rt.Fatalf("lost lease %d: %v", lease, err)
+						rt.Fatalf("write under expired lease %d: %v", lease, err)
 					}
 				case expected != model.version:
 					if !errors.Is(err, metastore.ErrConflict) {
@@ -99,9 +99,9 @@
 			"keepAlive": func(rt *rapid.T) {
 				id := metastore.LeaseID(rapid.IntRange(1, 3).Draw(rt, "lease"))
 				err := p.KeepAlive(ctx, id)
-				if _, held := leases[id]; !held {
+				if _, active := leases[id]; !active {
 					if !errors.Is(err, metastore.ErrLeaseLost) {
-						rt.Fatalf("lapsed lease %d: %v", id, err)
+						rt.Fatalf("keep-alive of expired lease %d: %v", id, err)
 					}
 					return
 				}
@@ -113,7 +113,7 @@
 			"lapse": func(rt *rapid.T) {
 				id := metastore.LeaseID(rapid.IntRange(1, 3).Draw(rt, "lease"))
 				p.ExpireLease(id)
-				if _, held := leases[id]; held {
+				if _, active := leases[id]; active {
 					leases[id] = clock.now
 					expire()
 				}
@@ -139,7 +139,7 @@
 }
 
 func TestOutageWritesNothingAndEndsWatches(t *testing.T) {
-	p, _ := newFake()
+	p, _ := newPlatform()
 	ctx := context.Background()
 	ended := make(chan error, 1)
 	go func() {
@@ -166,19 +166,19 @@
 	}
 }
 
-func TestValueBound(t *testing.T) {
-	p, _ := newFake()
+func TestValueSizeLimit(t *testing.T) {
+	p, _ := newPlatform()
 	ctx := context.Background()
 	if _, err := p.CompareAndSwap(ctx, "k", 0, make([]byte, metastore.MaxValueBytes), 0); err != nil {
-		t.Fatalf("value at the bound: %v", err)
+		t.Fatalf("value of the largest size: %v", err)
 	}
 	if _, err := p.CompareAndSwap(ctx, "k", 1, make([]byte, metastore.MaxValueBytes+1), 0); !errors.Is(err, metastore.ErrTooLarge) {
-		t.Fatalf("value over the bound: %v", err)
+		t.Fatalf("value over the largest size: %v", err)
 	}
 }
 
-func TestListLags(t *testing.T) {
-	p, clock := newFake()
+func TestListLag(t *testing.T) {
+	p, clock := newPlatform()
 	p.UpdateFaults(func(f *Faults) { f.ListLag = 3 * time.Second })
 	clock.now = clock.now.Add(time.Minute)
 	listing := metastore.Listing{Upstreams: map[fleet.Service][]fleet.Upstream{
@@ -210,7 +210,7 @@
 }
 
 func TestCountsAndRates(t *testing.T) {
-	p, clock := newFake()
+	p, clock := newPlatform()
 	ctx := WithClient(context.Background(), "entry-1")
 	for range 20 {
 		_, _ = p.Get(ctx, "k")
@@ -229,11 +229,11 @@
 	}
 }
 
-func TestFaultsAreChecked(t *testing.T) {
-	p, _ := newFake()
+func TestInvalidFaultsAreRejected(t *testing.T) {
+	p, _ := newPlatform()
 	for _, f := range []Faults{{Store: "half"}, {Delay: -1}, {LoseReplies: -1}, {ListLag: -1}} {
 		if err := p.SetFaults(f); err == nil {
-			t.Errorf("faults %+v were taken", f)
+			t.Errorf("invalid faults %+v were accepted", f)
 		}
 	}
 }
--- a/internal/metastore/standin/server.go
+++ b/internal/metastore/standin/server.go
@@ -17,10 +17,10 @@
 	"github.com/damaskcove/damaskcove/internal/metastore/protocol"
 )
 
-// expiryInterval is the time between two looks for lapsed leases while a Server runs.
+// expiryInterval is the time between two checks for expired leases while a Server runs.
 const expiryInterval = 100 * time.Millisecond
 
-// Server answers the platform's HTTP protocol for a Platform.
+// Server serves a Platform over the platform's HTTP protocol.
 type Server struct {
 	platform *Platform
 	listener net.Listener
@@ -29,7 +29,7 @@
 	stopped  chan struct{}
 }
 
-// Serve starts answering for p on addr, an IP number and port; port 0 takes a free one.
+// Serve starts a server for p on addr, an IP address and port; port 0 picks a free port.
 func Serve(p *Platform, addr string) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -47,17 +47,17 @@
 	return s, nil
 }
 
-// Addr returns the IP number and port that the server listens on.
+// Addr returns the IP address and port that the server listens on.
 func (s *Server) Addr() string {
 	return s.listener.Addr().String()
 }
 
-// Platform returns the platform that the server answers for.
+// Platform returns the platform that the server serves.
 func (s *Server) Platform() *Platform {
 	return s.platform
 }
 
-// Close ends the server and every call under way.
+// Close stops the server and aborts the calls in progress.
 func (s *Server) Close() error {
 	s.stop()
 	err := s.http.Close()
@@ -90,14 +90,14 @@
 	mux.HandleFunc("POST "+protocol.PathLeases, s.grantLease)
 	mux.HandleFunc("POST "+protocol.PathLeases+"/{lease}"+protocol.PathKeepAlive, s.keepAlive)
 	mux.HandleFunc("GET "+protocol.PathList, s.readList)
-	s.addAdmin(mux)
+	s.registerAdminRoutes(mux)
 	return mux
 }
 
 func (s *Server) getKey(w http.ResponseWriter, r *http.Request) {
-	key, err := keyOf(r)
+	key, err := requestKey(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, protocol.ErrorMalformed, err)
+		writeError(w, http.StatusBadRequest, protocol.ErrorMalformed, err)
 		return
 	}
 	if text := r.URL.Query().Get(protocol.ParamWatch); text != "" {
@@ -105,13 +105,13 @@
 		return
 	}
 	value, err := s.platform.Get(callContext(r), key)
-	answerValue(w, value, err)
+	writeValue(w, value, err)
 }
 
 func (s *Server) watchKey(w http.ResponseWriter, r *http.Request, key, after string) {
 	version, err := strconv.ParseUint(after, 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, protocol.ErrorMalformed, fmt.Errorf("watch %q is no version", after))
+		writeError(w, http.StatusBadRequest, protocol.ErrorMalformed, fmt.Errorf("watch %q is no version", after))
 		return
 	}
 	ctx, cancel := context.WithTimeout(callContext(r), protocol.MaxWatchWait)
@@ -121,19 +121,19 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	answerValue(w, value, err)
+	writeValue(w, value, err)
 }
 
 func (s *Server) putKey(w http.ResponseWriter, r *http.Request) {
-	write, err := readWrite(r)
+	put, err := readPutRequest(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, protocol.ErrorMalformed, err)
+		writeError(w, http.StatusBadRequest, protocol.ErrorMalformed, err)
 		return
 	}
-	version, err := s.platform.CompareAndSwap(callContext(r), write.key, write.expected, write.data, write.lease)
+	version, err := s.platform.CompareAndSwap(callContext(r), put.key, put.expected, put.data, put.lease)
 	w.Header().Set(protocol.HeaderVersion, strconv.FormatUint(uint64(version), 10))
 	if err != nil {
-		fail(w, metastore.OpCompareAndSwap, err)
+		writeStoreError(w, metastore.OpCompareAndSwap, err)
 	}
 }
 
@@ -141,12 +141,12 @@
 	text := r.URL.Query().Get(protocol.ParamTTL)
 	millis, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, protocol.ErrorMalformed, fmt.Errorf("%s %q is no number", protocol.ParamTTL, text))
+		writeError(w, http.StatusBadRequest, protocol.ErrorMalformed, fmt.Errorf("%s %q is no number", protocol.ParamTTL, text))
 		return
 	}
 	id, err := s.platform.GrantLease(callContext(r), time.Duration(millis)*time.Millisecond)
 	if err != nil {
-		fail(w, metastore.OpGrantLease, err)
+		writeStoreError(w, metastore.OpGrantLease, err)
 		return
 	}
 	w.Header().Set(protocol.HeaderLease, strconv.FormatUint(uint64(id), 10))
@@ -156,11 +156,11 @@
 func (s *Server) keepAlive(w http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseUint(r.PathValue("lease"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, protocol.ErrorMalformed, fmt.Errorf("lease %q is no number", r.PathValue("lease")))
+		writeError(w, http.StatusBadRequest, protocol.ErrorMalformed, fmt.Errorf("lease %q is no number", r.PathValue("lease")))
 		return
 	}
 	if err := s.platform.KeepAlive(callContext(r), metastore.LeaseID(id)); err != nil {
-		fail(w, metastore.OpKeepAlive, err)
+		writeStoreError(w, metastore.OpKeepAlive, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -169,7 +169,7 @@
 func (s *Server) readList(w http.ResponseWriter, r *http.Request) {
 	listing, err := s.platform.Read(callContext(r))
 	if err != nil {
-		fail(w, metastore.OpList, err)
+		writeStoreError(w, metastore.OpList, err)
 		return
 	}
 	if r.Header.Get(protocol.HeaderKnownVersion) == strconv.FormatUint(listing.Version, 10) {
@@ -177,52 +177,52 @@
 		return
 	}
 	if strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		writePacked(w, listing)
+		writeGzipJSON(w, listing)
 		return
 	}
 	writeJSON(w, listing)
 }
 
-// writePacked answers with compressed JSON.
-func writePacked(w http.ResponseWriter, value any) {
+// writeGzipJSON writes value as compressed JSON.
+func writeGzipJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Encoding", "gzip")
-	packed := gzip.NewWriter(w)
-	_ = json.NewEncoder(packed).Encode(value)
-	_ = packed.Close()
+	compressed := gzip.NewWriter(w)
+	_ = json.NewEncoder(compressed).Encode(value)
+	_ = compressed.Close()
 }
 
-// write is a PUT of a key.
-type write struct {
+// putRequest is the decoded PUT of a key.
+type putRequest struct {
 	key      string
 	expected metastore.Version
 	lease    metastore.LeaseID
 	data     []byte
 }
 
-func readWrite(r *http.Request) (write, error) {
-	key, err := keyOf(r)
+func readPutRequest(r *http.Request) (putRequest, error) {
+	key, err := requestKey(r)
 	if err != nil {
-		return write{}, err
+		return putRequest{}, err
 	}
 	expected, err := strconv.ParseUint(r.Header.Get(protocol.HeaderExpectedVersion), 10, 64)
 	if err != nil {
-		return write{}, fmt.Errorf("%s %q is no version", protocol.HeaderExpectedVersion, r.Header.Get(protocol.HeaderExpectedVersion))
+		return putRequest{}, fmt.Errorf("%s %q is no version", protocol.HeaderExpectedVersion, r.Header.Get(protocol.HeaderExpectedVersion))
 	}
 	var lease uint64
 	if text := r.Header.Get(protocol.HeaderLease); text != "" {
 		if lease, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return write{}, fmt.Errorf("%s %q is no lease", protocol.HeaderLease, text)
+			return putRequest{}, fmt.Errorf("%s %q is no lease", protocol.HeaderLease, text)
 		}
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, metastore.MaxValueBytes+1))
 	if err != nil {
-		return write{}, fmt.Errorf("read value of key %q: %w", key, err)
+		return putRequest{}, fmt.Errorf("read value of key %q: %w", key, err)
 	}
-	return write{key: key, expected: metastore.Version(expected), lease: metastore.LeaseID(lease), data: data}, nil
+	return putRequest{key: key, expected: metastore.Version(expected), lease: metastore.LeaseID(lease), data: data}, nil
 }
 
-func keyOf(r *http.Request) (string, error) {
+func requestKey(r *http.Request) (string, error) {
 	key := r.PathValue("key")
 	if key == "" || len(key) > protocol.MaxKeyBytes {
 		return "", fmt.Errorf("key of %d bytes is outside 1 to %d", len(key), protocol.MaxKeyBytes)
@@ -238,9 +238,9 @@
 	return WithClient(r.Context(), name)
 }
 
-func answerValue(w http.ResponseWriter, value metastore.Value, err error) {
+func writeValue(w http.ResponseWriter, value metastore.Value, err error) {
 	if err != nil {
-		fail(w, metastore.OpGet, err)
+		writeStoreError(w, metastore.OpGet, err)
 		return
 	}
 	w.Header().Set(protocol.HeaderVersion, strconv.FormatUint(uint64(value.Version), 10))
@@ -249,25 +249,26 @@
 	_, _ = w.Write(value.Data)
 }
 
-// fail answers with a store's error. An unknown result has no answer: the connection is closed.
-func fail(w http.ResponseWriter, op string, err error) {
+// writeStoreError writes the response for a store's error. For an unknown result or a dropped read it
+// closes the connection without a response.
+func writeStoreError(w http.ResponseWriter, op string, err error) {
 	switch {
 	case errors.Is(err, metastore.ErrNotFound):
-		refuse(w, http.StatusNotFound, protocol.ErrorNotFound, err)
+		writeError(w, http.StatusNotFound, protocol.ErrorNotFound, err)
 	case errors.Is(err, metastore.ErrConflict):
-		refuse(w, http.StatusPreconditionFailed, protocol.ErrorConflict, err)
+		writeError(w, http.StatusPreconditionFailed, protocol.ErrorConflict, err)
 	case errors.Is(err, metastore.ErrTooLarge):
-		refuse(w, http.StatusRequestEntityTooLarge, protocol.ErrorTooLarge, err)
+		writeError(w, http.StatusRequestEntityTooLarge, protocol.ErrorTooLarge, err)
 	case errors.Is(err, metastore.ErrLeaseLost):
-		refuse(w, http.StatusGone, protocol.ErrorLeaseLost, err)
+		writeError(w, http.StatusGone, protocol.ErrorLeaseLost, err)
 	case errors.Is(err, metastore.ErrUnknownResult), errors.Is(err, errDropped):
 		panic(http.ErrAbortHandler)
 	default:
-		refuse(w, http.StatusServiceUnavailable, protocol.ErrorUnavailable, fmt.Errorf("%s: %w", op, err))
+		writeError(w, http.StatusServiceUnavailable, protocol.ErrorUnavailable, fmt.Errorf("%s: %w", op, err))
 	}
 }
 
-func refuse(w http.ResponseWriter, status int, word string, err error) {
+func writeError(w http.ResponseWriter, status int, word string, err error) {
 	w.Header().Set(protocol.HeaderError, word)
 	http.Error(w, err.Error(), status)
 }
--- a/internal/metastore/standin/store.go
+++ b/internal/metastore/standin/store.go
@@ -7,20 +7,20 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// store holds keys and leases. Its caller serialises all calls.
+// store holds keys and leases. The caller must serialise all calls.
 type store struct {
 	records   map[string]*record
 	leases    map[metastore.LeaseID]*lease
 	lastLease metastore.LeaseID
 }
 
-// record is one key. It stays, with version 0, after the key was removed.
+// record is one key. It is kept with version 0 after the key is removed, so that versions never repeat.
 type record struct {
 	data    []byte
 	version metastore.Version // 0 when the key is absent.
-	last    metastore.Version // Highest version ever given.
+	highest metastore.Version // Highest version ever assigned.
 	lease   metastore.LeaseID
-	changed chan struct{} // Closed at the next change.
+	changed chan struct{} // Closed and replaced at each change.
 }
 
 type lease struct {
@@ -44,8 +44,8 @@
 	return r
 }
 
-// swap writes key when its version is expected.
-func (s *store) swap(key string, expected metastore.Version, data []byte, id metastore.LeaseID) (metastore.Version, error) {
+// compareAndSwap writes key when its version is expected.
+func (s *store) compareAndSwap(key string, expected metastore.Version, data []byte, id metastore.LeaseID) (metastore.Version, error) {
 	if len(data) > metastore.MaxValueBytes {
 		return 0, fmt.Errorf("%w: key %q, %d bytes, at most %d", metastore.ErrTooLarge, key, len(data), metastore.MaxValueBytes)
 	}
@@ -56,20 +56,20 @@
 	if r.version != expected {
 		return r.version, fmt.Errorf("%w: key %q is at version %d, expected %d", metastore.ErrConflict, key, r.version, expected)
 	}
-	r.last++
-	r.version = r.last
+	r.highest++
+	r.version = r.highest
 	r.data = append([]byte(nil), data...)
 	r.lease = id
-	r.notify()
+	r.notifyWatches()
 	return r.version, nil
 }
 
-func (r *record) notify() {
+func (r *record) notifyWatches() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// value returns what the key holds.
+// value returns the key's data and version.
 func (r *record) value(key string) (metastore.Value, error) {
 	if r.version == 0 {
 		return metastore.Value{}, fmt.Errorf("%w: %q", metastore.ErrNotFound, key)
@@ -92,17 +92,17 @@
 	return nil
 }
 
-// expire lapses every lease whose time is over.
-func (s *store) expire(now time.Time) {
+// expireDue expires every lease whose time to live is over.
+func (s *store) expireDue(now time.Time) {
 	for id, l := range s.leases {
 		if !l.expires.After(now) {
-			s.lapse(id)
+			s.expireLease(id)
 		}
 	}
 }
 
-// lapse ends a lease and removes its keys.
-func (s *store) lapse(id metastore.LeaseID) {
+// expireLease removes a lease and its keys.
+func (s *store) expireLease(id metastore.LeaseID) {
 	if _, ok := s.leases[id]; !ok {
 		return
 	}
@@ -111,7 +111,7 @@
 		if r.version != 0 && r.lease == id {
 			r.version = 0
 			r.data = nil
-			r.notify()
+			r.notifyWatches()
 		}
 	}
 }
--- a/internal/metastore/standin/switches.go
+++ b/internal/metastore/standin/switches.go
@@ -7,7 +7,7 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// SetFaults replaces the faults under way. Watches that wait end when the store goes into an outage.
+// SetFaults replaces the active faults. An outage of the store ends the watches that wait.
 func (p *Platform) SetFaults(f Faults) error {
 	if err := f.validate(); err != nil {
 		return err
@@ -16,50 +16,50 @@
 	return nil
 }
 
-// UpdateFaults changes some of the faults under way.
+// UpdateFaults modifies the active faults.
 func (p *Platform) UpdateFaults(change func(f *Faults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(&p.faults)
-	p.wake()
+	p.wakeWatches()
 }
 
-// Faults returns the faults under way.
+// Faults returns the active faults.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// ExpireLease ends a lease at once, as if its holder had been paused for its time to live.
+// ExpireLease expires a lease at once, as if its holder had been paused for its time to live.
 func (p *Platform) ExpireLease(id metastore.LeaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.store.lapse(id)
+	p.store.expireLease(id)
 }
 
-// ExpireAllLeases ends every lease at once.
+// ExpireAllLeases expires every lease at once.
 func (p *Platform) ExpireAllLeases() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.store.leases {
-		p.store.lapse(id)
+		p.store.expireLease(id)
 	}
 }
 
-// ExpireDueLeases lapses the leases whose time is over. Every call of the store does so too.
+// ExpireDueLeases expires the leases whose time to live is over. Most calls of the store do so too.
 func (p *Platform) ExpireDueLeases() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.store.expire(p.now())
+	p.store.expireDue(p.now())
 }
 
-// SetListing replaces the list and gives it the next version. Readers see it after the lag.
+// SetListing replaces the list, under the next version. Read returns it after the lag.
 func (p *Platform) SetListing(l metastore.Listing) {
 	p.UpdateListing(func(current *metastore.Listing) { *current = l })
 }
 
-// UpdateListing changes the latest list and gives it the next version. Readers see it after the lag.
+// UpdateListing modifies the latest list, under the next version. Read returns it after the lag.
 func (p *Platform) UpdateListing(change func(l *metastore.Listing)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,26 +88,26 @@
 	return copyListing(p.history.latest())
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the calls received so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counter.snapshot(p.now())
 }
 
-func (p *Platform) wake() {
-	close(p.faulted)
-	p.faulted = make(chan struct{})
+func (p *Platform) wakeWatches() {
+	close(p.faultsChanged)
+	p.faultsChanged = make(chan struct{})
 }
 
-type clientKey struct{}
+type clientNameKey struct{}
 
 // WithClient returns a context whose calls are counted under name.
 func WithClient(ctx context.Context, name string) context.Context {
-	return context.WithValue(ctx, clientKey{}, name)
+	return context.WithValue(ctx, clientNameKey{}, name)
 }
 
 func clientName(ctx context.Context) string {
-	name, _ := ctx.Value(clientKey{}).(string)
+	name, _ := ctx.Value(clientNameKey{}).(string)
 	return name
 }
