--- a/internal/local/doc.go
+++ b/internal/local/doc.go
@@ -1,8 +1,8 @@
 // Package local runs a whole fleet in one process on loopback, for the demo and for
-// tests of failures: the platform's stand-in, upstream stand-ins and real instances.
+// failure tests: emulated platform and upstreams, and real instances.
 //
-// Instances reach the platform, each other and the upstreams over TCP as they would
-// elsewhere. Faults are injected at the interfaces: directions between instances are
-// cut, instances are killed with their callers' connections, the platform and the
-// upstreams have faults of their own.
+// Instances connect to the platform, to each other and to the upstreams over TCP, as in
+// production. Faults are injected at the interfaces: links between instances are blocked
+// in one direction, instances are killed together with their callers' connections, and
+// the platform and the upstreams have fault injection of their own.
 package local
--- a/internal/local/failure_test.go
+++ b/internal/local/failure_test.go
@@ -24,30 +24,30 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// traffic sends orders from several callers until it is stopped.
+// traffic sends orders from several callers in parallel until it is stopped.
 type traffic struct {
 	fleet    *Fleet
-	watch    *CutOffCounter
+	cutOffs  *CutOffCounter
 	stop     chan struct{}
 	wait     sync.WaitGroup
 	answered atomic.Int64
 
 	mu      sync.Mutex
-	beliefs []upstream.CallerResult
+	results []upstream.CallerResult
 	errors  []error
 }
 
 func startTraffic(t *testing.T, f *Fleet, callers int) *traffic {
 	t.Helper()
-	r := &traffic{fleet: f, watch: NewCutOffCounter(), stop: make(chan struct{})}
+	r := &traffic{fleet: f, cutOffs: NewCutOffCounter(), stop: make(chan struct{})}
 	for n := range callers {
-		c := newWatchedCaller(t, f, r.watch, f.opts.Zones[n%len(f.opts.Zones)])
-		r.wait.Go(func() { r.run(c, n) })
+		c := newCountedCaller(t, f, r.cutOffs, f.opts.Zones[n%len(f.opts.Zones)])
+		r.wait.Go(func() { r.runCaller(c, n) })
 	}
 	return r
 }
 
-func (r *traffic) run(c *client.Client, caller int) {
+func (r *traffic) runCaller(c *client.Client, caller int) {
 	for i := 0; ; i++ {
 		select {
 		case <-r.stop:
@@ -61,12 +61,12 @@
 func (r *traffic) send(c *client.Client, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	a, err := ask(ctx, c, client.Request{Service: "drums", Method: "POST", URI: "/drums?" + upstream.ParamTime + "=20", Body: []byte(id)}, id)
-	b := upstream.CallerResult{ID: id, NonIdempotent: true, Outcome: toldBy(a, err)}
+	a, err := sendRequest(ctx, c, client.Request{Service: "drums", Method: "POST", URI: "/drums?" + upstream.ParamTime + "=20", Body: []byte(id)}, id)
+	result := upstream.CallerResult{ID: id, NonIdempotent: true, Outcome: outcomeOf(a, err)}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.beliefs = append(r.beliefs, b)
-	if b.Outcome == upstream.OutcomeAnswered {
+	r.results = append(r.results, result)
+	if result.Outcome == upstream.OutcomeAnswered {
 		r.answered.Add(1)
 	}
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-func toldBy(a client.Answer, err error) upstream.Outcome {
+func outcomeOf(a client.Answer, err error) upstream.Outcome {
 	var none *client.NoAnswerError
 	switch {
 	case errors.As(err, &none) && none.Execution == client.ExecutionUnknown:
@@ -92,32 +92,33 @@
 	}
 }
 
-// await waits until more orders have been answered.
-func (r *traffic) await(t *testing.T, more int64) {
+// waitAnswered waits until as many more orders have been answered.
+func (r *traffic) waitAnswered(t *testing.T, more int64) {
 	t.Helper()
 	want := r.answered.Load() + more
-	eventually(t, fmt.Sprintf("%d orders answered", want), func() bool { return r.answered.Load() >= want })
+	eventually(t, fmt.Sprintf("%d orders are answered", want), func() bool { return r.answered.Load() >= want })
 }
 
-// end stops the callers and compares what they were told with what the upstreams ran.
-func (r *traffic) end(t *testing.T) upstream.Audit {
+// stopAndAudit stops the callers and compares their results with what the upstreams executed.
+func (r *traffic) stopAndAudit(t *testing.T) upstream.Audit {
 	t.Helper()
 	close(r.stop)
 	r.wait.Wait()
-	audit := r.fleet.Host.Recorder().Audit(r.beliefs)
+	audit := r.fleet.Host.Recorder().Audit(r.results)
 	if audit.Lost+audit.Duplicated+audit.FalseNotRun > 0 {
-		t.Errorf("lost %d, doubled %d, falsely told not run %d of %d: %v; errors %v",
+		t.Errorf("%d lost, %d duplicated, %d falsely reported as not run, of %d requests: %v; errors %v",
 			audit.Lost, audit.Duplicated, audit.FalseNotRun, audit.Requests, audit.Violations, r.errors)
 	}
 	return audit
 }
 
-// eventually waits for a condition. The bound judges no speed: reaching it means never.
+// eventually waits for a condition. testTimeout is no performance target: a condition that
+// has not come true by then is taken to be stuck.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -135,41 +136,41 @@
 func TestPlannedStopCutsOffNoRequest(t *testing.T) {
 	f := startFleet(t, 4)
 	r := startTraffic(t, f, 8)
-	r.await(t, 100)
+	r.waitAnswered(t, 100)
 	for range 2 {
-		leaving := f.Instances()[1] // The only one of its zone, and so in use.
-		r.watch.MarkStopping(leaving.Node().Self().EntryAddr)
+		leaving := f.Instances()[1] // The only instance of its zone, and therefore in use.
+		r.cutOffs.MarkStopping(leaving.Node().Self().EntryAddr)
 		if err := leaving.Stop(); err != nil {
 			t.Fatal(err)
 		}
-		r.await(t, 100)
+		r.waitAnswered(t, 100)
 	}
-	audit := r.end(t)
-	if cut := r.watch.Count(); cut > 0 {
-		t.Errorf("planned stops cut off %d requests", cut)
+	audit := r.stopAndAudit(t)
+	if n := r.cutOffs.Count(); n > 0 {
+		t.Errorf("planned stops cut off %d requests", n)
 	}
 	if audit.Unknown > 0 || len(r.errors) > 0 {
 		t.Errorf("%d orders are of unknown outcome, errors %v; want none through planned stops", audit.Unknown, r.errors)
 	}
 }
 
-func TestKilledInstanceLosesAndDoublesNothing(t *testing.T) {
+func TestKilledInstanceLosesAndDuplicatesNoRequest(t *testing.T) {
 	f := startFleet(t, 5)
 	r := startTraffic(t, f, 8)
 	for range 2 {
-		r.await(t, 100)
-		f.Instances()[1].Kill() // The only one of its zone, and so in use.
+		r.waitAnswered(t, 100)
+		f.Instances()[1].Kill() // The only instance of its zone, and therefore in use.
 	}
-	r.await(t, 100)
-	r.end(t)
+	r.waitAnswered(t, 100)
+	r.stopAndAudit(t)
 }
 
-func TestTrafficGoesOnWhileTheStoreIsAwayAndChangesFollowAfter(t *testing.T) {
+func TestTrafficContinuesDuringStoreOutageAndChangesApplyAfterwards(t *testing.T) {
 	ctx := testContext(t)
 	f := startFleet(t, 3)
 	r := startTraffic(t, f, 4)
 	f.Platform.UpdateFaults(func(x *standin.Faults) { x.Store = standin.OutageDrop })
-	r.await(t, 200)
+	r.waitAnswered(t, 200)
 	f.Platform.UpdateFaults(func(x *standin.Faults) {
 		x.Store = standin.OutageNone
 		x.LoseReplies = 1
@@ -181,13 +182,13 @@
 	if err := f.WaitReady(ctx, accepted.Revision); err != nil {
 		t.Fatal(err)
 	}
-	r.end(t)
+	r.stopAndAudit(t)
 	if accepted.Revision != 2 {
-		t.Errorf("revision %d after one change, whose reply was lost once; want 2", accepted.Revision)
+		t.Errorf("revision %d after one change whose response was lost once; want 2", accepted.Revision)
 	}
 }
 
-func TestInstanceStartsFromItsPeersWhileTheStoreIsAway(t *testing.T) {
+func TestInstanceStartsFromPeersDuringStoreOutage(t *testing.T) {
 	ctx := testContext(t)
 	f := startFleet(t, 3)
 	accepted, err := f.Apply(ctx, changeDeadline(time.Second), "second")
@@ -207,10 +208,10 @@
 	})
 }
 
-func TestRevisionNeverGoesDownThroughRestartsAndOutages(t *testing.T) {
+func TestRevisionNeverDecreasesAcrossRestartsAndOutages(t *testing.T) {
 	ctx := testContext(t)
 	f := startFleet(t, 3)
-	watch := watchRevisions(f)
+	monitor := monitorRevisions(f)
 	for i := range 4 {
 		change := changeDeadline(time.Duration(1000+i) * time.Millisecond)
 		accepted, err := f.Apply(ctx, change, fmt.Sprintf("change-%d", i))
@@ -223,7 +224,7 @@
 			t.Fatal(err)
 		}
 		f.Platform.UpdateFaults(func(x *standin.Faults) { x.Store = standin.OutageNone })
-		eventually(t, fmt.Sprintf("revision %d is in force everywhere", accepted.Revision), func() bool {
+		eventually(t, fmt.Sprintf("revision %d is active on every instance", accepted.Revision), func() bool {
 			for _, in := range f.Instances() {
 				if in.Node().Status().Revision < accepted.Revision {
 					return false
@@ -232,48 +233,48 @@
 			return true
 		})
 	}
-	if reverts := watch.end(); len(reverts) > 0 {
-		t.Errorf("revisions went down: %v", reverts)
+	if reverts := monitor.stopAndReport(); len(reverts) > 0 {
+		t.Errorf("revisions decreased: %v", reverts)
 	}
 }
 
-// revisionWatch looks at every instance's revision again and again.
-type revisionWatch struct {
+// revisionMonitor polls the revision of every instance and records each decrease.
+type revisionMonitor struct {
 	stop    chan struct{}
 	done    chan struct{}
 	reverts []string
 }
 
-func watchRevisions(f *Fleet) *revisionWatch {
-	w := &revisionWatch{stop: make(chan struct{}), done: make(chan struct{})}
+func monitorRevisions(f *Fleet) *revisionMonitor {
+	m := &revisionMonitor{stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
-		defer close(w.done)
+		defer close(m.done)
 		highest := make(map[*Instance]fleet.Revision)
 		for {
 			select {
-			case <-w.stop:
+			case <-m.stop:
 				return
 			case <-time.After(time.Millisecond):
 			}
 			for _, in := range f.Instances() {
 				r := in.Node().Status().Revision
 				if r < highest[in] {
-					w.reverts = append(w.reverts, fmt.Sprintf("%s from %d to %d", in.ID, highest[in], r))
+					m.reverts = append(m.reverts, fmt.Sprintf("%s from %d to %d", in.ID, highest[in], r))
 				}
 				highest[in] = max(highest[in], r)
 			}
 		}
 	}()
-	return w
+	return m
 }
 
-func (w *revisionWatch) end() []string {
-	close(w.stop)
-	<-w.done
-	return w.reverts
+func (m *revisionMonitor) stopAndReport() []string {
+	close(m.stop)
+	<-m.done
+	return m.reverts
 }
 
-func TestSecondOperatorIsToldWhatTheFirstChanged(t *testing.T) {
+func TestConflictingChangeNamesTheChangedField(t *testing.T) {
 	ctx := testContext(t)
 	f := startFleet(t, 1)
 	store := platformclient.New(f.PlatformAddr(), "operators")
@@ -288,26 +289,26 @@
 	_, err = operate.Apply(ctx, store, "test", base, changeDeadline(3*time.Second), "second-operator")
 	var conflict *operate.ConflictError
 	if !errors.As(err, &conflict) || len(conflict.Differences) != 1 || conflict.Differences[0].Field != "deadline" {
-		t.Fatalf("the second operator got %v, want a conflict that names the deadline", err)
+		t.Fatalf("the second operator's change returned %v, want a conflict that names the deadline", err)
 	}
 }
 
-func TestLeavingUpstreamGetsNoNewWorkOnceItSaysSo(t *testing.T) {
+func TestDrainingUpstreamGetsNoNewRequests(t *testing.T) {
 	f := startFleet(t, 3)
 	r := startTraffic(t, f, 6)
-	r.await(t, 100)
+	r.waitAnswered(t, 100)
 	leaving := f.Host.ServiceEndpoints("drums")[0]
 	leaving.Drain()
-	eventually(t, "every instance knows that the endpoint leaves", func() bool { return knownLeaving(f, leaving.Addr()) })
+	eventually(t, "every instance reports the endpoint as leaving", func() bool { return allReportLeaving(f, leaving.Addr()) })
 	before := leaving.Stats().Received
-	r.await(t, 300)
+	r.waitAnswered(t, 300)
 	if after := leaving.Stats().Received; after != before {
-		t.Errorf("a leaving endpoint got %d requests after all instances knew", after-before)
+		t.Errorf("a draining endpoint received %d requests after every instance reported it as leaving", after-before)
 	}
-	r.end(t)
+	r.stopAndAudit(t)
 }
 
-func knownLeaving(f *Fleet, e fleet.Endpoint) bool {
+func allReportLeaving(f *Fleet, e fleet.Endpoint) bool {
 	for _, in := range f.Instances() {
 		for _, s := range in.Node().Status().Services {
 			for _, v := range s.Endpoints {
@@ -320,28 +321,29 @@
 	return true
 }
 
-// TestOrdersGoOnWhileOneDirectionBetweenTheirInstancesIsDead keeps the direction dead until the
-// instance at its end has said so: one silent vote makes a suspect, which goes on working.
-func TestOrdersGoOnWhileOneDirectionBetweenTheirInstancesIsDead(t *testing.T) {
+// TestOrdersContinueDuringOneWayPartition blocks one link until the instance at its end has
+// reported the other as unreachable. One such vote makes an instance suspect; a suspect
+// instance must go on serving orders.
+func TestOrdersContinueDuringOneWayPartition(t *testing.T) {
 	f := startFleet(t, 4)
 	instances := f.Instances()
-	unheard := instances[0]
-	f.BlockLink(unheard.ID, instances[1].ID)
+	suspect := instances[0]
+	f.BlockLink(suspect.ID, instances[1].ID)
 	r := startTraffic(t, f, 6)
-	r.await(t, 300)
-	eventually(t, "every instance holds the unheard one suspect", func() bool {
-		return !slices.ContainsFunc(instances, func(in *Instance) bool { return statusAt(in, unheard.ID) != "suspect" })
+	r.waitAnswered(t, 300)
+	eventually(t, "every instance reports the unreachable one as suspect", func() bool {
+		return !slices.ContainsFunc(instances, func(in *Instance) bool { return statusAt(in, suspect.ID) != "suspect" })
 	})
-	r.await(t, 300)
+	r.waitAnswered(t, 300)
 	f.UnblockLinks()
-	r.await(t, 300)
-	r.end(t)
-	eventually(t, "all instances see each other alive", func() bool {
-		return f.behind(1) == ""
+	r.waitAnswered(t, 300)
+	r.stopAndAudit(t)
+	eventually(t, "all instances consider each other alive", func() bool {
+		return f.notReadyReason(1) == ""
 	})
 }
 
-// statusAt returns what an instance holds another's status to be; empty when it is no member there.
+// statusAt returns the status of an instance in the member list of another; empty when it is not in the list.
 func statusAt(in *Instance, of fleet.InstanceID) string {
 	for _, m := range in.Node().Status().Members {
 		if m.Instance.Ref.ID == of {
@@ -351,7 +353,7 @@
 	return ""
 }
 
-func TestSilentAndCutOffAnswersAreNeverPassedOnAsWhole(t *testing.T) {
+func TestIncompleteResponsesAreNeverForwardedAsComplete(t *testing.T) {
 	ctx := testContext(t)
 	f := startFleet(t, 2)
 	for _, e := range f.Host.ServiceEndpoints("drums") {
@@ -362,43 +364,43 @@
 	c := newCaller(t, f)
 	for i := range 100 {
 		id := fmt.Sprintf("order-%d", i)
-		a, err := ask(ctx, c, client.Request{Service: "drums", Method: "POST", URI: "/drums", Body: []byte(id)}, id)
-		told := toldBy(a, err)
+		a, err := sendRequest(ctx, c, client.Request{Service: "drums", Method: "POST", URI: "/drums", Body: []byte(id)}, id)
+		outcome := outcomeOf(a, err)
 		starts := f.Host.Recorder().Starts(id)
-		if told == upstream.OutcomeAnswered && a.Status != http.StatusOK || told == upstream.OutcomeNone {
+		if outcome == upstream.OutcomeAnswered && a.Status != http.StatusOK || outcome == upstream.OutcomeNone {
 			t.Errorf("%s: status %d, execution %s: %v", id, a.Status, a.Execution, err)
 		}
-		if starts > 1 || told == upstream.OutcomeNotRun && starts > 0 {
-			t.Errorf("%s started %d times and its caller was told %d", id, starts, told)
+		if starts > 1 || outcome == upstream.OutcomeNotRun && starts > 0 {
+			t.Errorf("%s started %d times and its caller's outcome is %d", id, starts, outcome)
 		}
 	}
 }
 
-// TestInstanceThatIsTakenOffTheRosterComesBackAsAnotherLife takes an instance off the roster, as
-// the fleet does with one that was frozen for long.
-func TestInstanceThatIsTakenOffTheRosterComesBackAsAnotherLife(t *testing.T) {
+// TestInstanceRemovedFromRosterRejoinsAsNewIncarnation removes a running instance from the roster,
+// as the fleet does with one that was frozen for long.
+func TestInstanceRemovedFromRosterRejoinsAsNewIncarnation(t *testing.T) {
 	ctx := testContext(t)
 	f := startFleet(t, 3)
 	r := startTraffic(t, f, 6)
-	r.await(t, 100)
-	struck := f.Instances()[1]
-	former := struck.Node().Self().Ref
-	strike(ctx, t, f, former)
-	if _, err := f.Add("z3"); err != nil { // Its join makes the fleet read the roster.
+	r.waitAnswered(t, 100)
+	removed := f.Instances()[1]
+	previous := removed.Node().Self().Ref
+	removeFromRoster(ctx, t, f, previous)
+	if _, err := f.Add("z3"); err != nil { // Its join makes the other instances read the roster.
 		t.Fatal(err)
 	}
-	eventually(t, "the instance runs as another life", func() bool {
-		return struck.Node().Self().Ref.Incarnation > former.Incarnation
+	eventually(t, "the instance runs as a new incarnation", func() bool {
+		return removed.Node().Self().Ref.Incarnation > previous.Incarnation
 	})
 	if err := f.WaitReady(ctx, 1); err != nil {
 		t.Fatal(err)
 	}
-	r.await(t, 100)
-	r.end(t)
+	r.waitAnswered(t, 100)
+	r.stopAndAudit(t)
 }
 
-// strike writes the next generation of the roster, without one life.
-func strike(ctx context.Context, t *testing.T, f *Fleet, ref fleet.Ref) {
+// removeFromRoster writes the next generation of the roster, without one incarnation.
+func removeFromRoster(ctx context.Context, t *testing.T, f *Fleet, ref fleet.Ref) {
 	t.Helper()
 	key := storekeys.Keys{Fleet: f.opts.Name}.Roster()
 	eventually(t, "the roster is written", func() bool {
--- a/internal/local/fleet.go
+++ b/internal/local/fleet.go
@@ -26,27 +26,27 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// loopback is the address that everything listens on; the system picks the port.
+// loopback is the address that every server listens on; the system picks the port.
 const loopback = "127.0.0.1:0"
 
-// readyPoll is the time between two looks at whether the fleet is ready.
-const readyPoll = 10 * time.Millisecond
+// readyPollInterval is the time between two checks of whether the fleet is ready.
+const readyPollInterval = 10 * time.Millisecond
 
-// ErrNotReady says that the fleet did not become ready in time.
+// ErrNotReady means that the fleet did not become ready in time.
 var ErrNotReady = errors.New("fleet not ready")
 
-// Options are the parameters of a local fleet.
+// Options configure a local fleet.
 type Options struct {
-	Name            string // Of the fleet.
+	Name            string // The fleet's name.
 	Zones           []fleet.Zone
 	Region          fleet.Region
 	Seed            uint64
 	DiscoveryMaxAge time.Duration
 	TicketLifetime  time.Duration
 	StopTimeout     time.Duration
-	ListLag         time.Duration // Of the platform's list.
-	Log             *slog.Logger  // Nil for none.
-	Tracer          trace.Tracer  // Nil for none.
+	ListLag         time.Duration // Age of the list that the platform returns.
+	Log             *slog.Logger  // Nil discards the log.
+	Tracer          trace.Tracer  // Nil disables tracing.
 }
 
 // Fleet is a fleet in one process.
@@ -57,14 +57,14 @@
 	server   *standin.Server
 	wait     conc.WaitGroup
 
-	mu        sync.Mutex
-	instances []*Instance
-	next      int
-	cuts      map[direction]bool
+	mu         sync.Mutex
+	instances  []*Instance
+	lastNumber int
+	blocked    map[link]bool
 }
 
-// direction is one direction between two instances.
-type direction struct {
+// link is the connection of two instances in one direction.
+type link struct {
 	from, to fleet.InstanceID
 }
 
@@ -73,14 +73,14 @@
 	ID   fleet.InstanceID
 	Zone fleet.Zone
 
-	node     atomic.Pointer[node.Node] // The present life.
-	listener atomic.Pointer[listener]  // Of the present life.
+	node     atomic.Pointer[node.Node]        // The current incarnation.
+	listener atomic.Pointer[trackingListener] // Of the current incarnation.
 	stop     context.CancelFunc
 	ended    chan struct{}
 	err      error // Valid once ended is closed.
 }
 
-// Start runs the stand-ins, without upstreams and instances.
+// Start starts the platform and the upstream host, without upstreams and instances.
 func Start(o Options) (*Fleet, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -88,7 +88,7 @@
 	if o.Tracer == nil {
 		o.Tracer = noop.NewTracerProvider().Tracer("local")
 	}
-	f := &Fleet{opts: o, cuts: make(map[direction]bool)}
+	f := &Fleet{opts: o, blocked: make(map[link]bool)}
 	f.Platform = standin.New(standin.Options{Faults: standin.Faults{ListLag: o.ListLag}})
 	f.Host = upstream.NewHost(upstream.HostOptions{Seed: o.Seed, RecordIdempotent: true, OnChange: f.listUpstreams})
 	server, err := standin.Serve(f.Platform, loopback)
@@ -99,17 +99,17 @@
 	return f, nil
 }
 
-// listUpstreams brings the platform's list up to date with the upstreams.
+// listUpstreams copies the host's upstreams to the platform's list.
 func (f *Fleet) listUpstreams(h *upstream.Host) {
 	f.Platform.UpdateListing(func(l *metastore.Listing) { l.Upstreams = h.Upstreams() })
 }
 
-// PlatformAddr returns the address of the platform's stand-in.
+// PlatformAddr returns the address of the platform.
 func (f *Fleet) PlatformAddr() string {
 	return f.server.Addr()
 }
 
-// Apply makes a configuration change, as the operators' tool does.
+// Apply commits a configuration change, as the operators' tool does.
 func (f *Fleet) Apply(ctx context.Context, change rollout.Change, changeID string) (operate.Accepted, error) {
 	store := client.New(f.PlatformAddr(), "operator")
 	defer store.Close()
@@ -125,16 +125,16 @@
 	s.Peer.Plaintext = true
 	s.Operator.Token = OperatorToken
 	s.Tickets.Keys = []settings.TicketKey{{ID: "local", Bytes: make([]byte, settings.MinSecretBytes)}}
-	setDuration(&s.Tickets.Lifetime, f.opts.TicketLifetime)
-	setDuration(&s.Fleet.DiscoveryMaxAge, f.opts.DiscoveryMaxAge)
-	setDuration(&s.Stop.Timeout, f.opts.StopTimeout)
+	overrideDuration(&s.Tickets.Lifetime, f.opts.TicketLifetime)
+	overrideDuration(&s.Fleet.DiscoveryMaxAge, f.opts.DiscoveryMaxAge)
+	overrideDuration(&s.Stop.Timeout, f.opts.StopTimeout)
 	return &s
 }
 
 // OperatorToken is the bearer token of the instances' operator endpoints.
 const OperatorToken = "local-operator-token"
 
-func setDuration(to *time.Duration, value time.Duration) {
+func overrideDuration(to *time.Duration, value time.Duration) {
 	if value > 0 {
 		*to = value
 	}
@@ -143,8 +143,8 @@
 // Add starts an instance in a zone.
 func (f *Fleet) Add(zone fleet.Zone) (*Instance, error) {
 	f.mu.Lock()
-	f.next++
-	number := f.next
+	f.lastNumber++
+	number := f.lastNumber
 	f.mu.Unlock()
 	return f.run(fleet.InstanceID(fmt.Sprintf("entry-%d", number)), zone, uint64(number))
 }
@@ -159,13 +159,13 @@
 		defer close(in.ended)
 		defer store.Close()
 		in.err = node.RunIncarnations(ctx, f.nodeOptions(in, store, number), func(n *node.Node) {
-			f.begin(in, n)
+			f.incarnationStarted(in, n)
 			select {
 			case started <- struct{}{}:
 			default:
 			}
 		})
-		f.end(in)
+		f.instanceEnded(in)
 	})
 	select {
 	case <-started:
@@ -178,19 +178,20 @@
 	return in, nil
 }
 
-// begin notes that a life of an instance begins; the life before it has ended.
-func (f *Fleet) begin(in *Instance, n *node.Node) {
-	if former := in.node.Swap(n); former != nil {
-		f.listInstance(former.Self(), false)
+// incarnationStarted replaces the previous incarnation of an instance, which has ended, in the
+// platform's list.
+func (f *Fleet) incarnationStarted(in *Instance, n *node.Node) {
+	if previous := in.node.Swap(n); previous != nil {
+		f.listInstance(previous.Self(), false)
 	}
 	f.listInstance(n.Self(), true)
 }
 
-// end notes that the last life of an instance has ended. The end of a process closes
-// what it left open.
-func (f *Fleet) end(in *Instance) {
+// instanceEnded removes an instance from the platform's list and closes its callers' connections,
+// as the exit of a process does.
+func (f *Fleet) instanceEnded(in *Instance) {
 	if l := in.listener.Load(); l != nil {
-		l.sever()
+		l.closeAll()
 	}
 	if n := in.node.Load(); n != nil {
 		f.listInstance(n.Self(), false)
@@ -205,16 +206,16 @@
 		Log:         f.opts.Log.With("instance", in.ID),
 		Tracer:      f.opts.Tracer,
 		Seed:        f.opts.Seed + number,
-		LinkBlocked: func(to fleet.Ref) bool { return f.isCut(in.ID, to.ID) },
+		LinkBlocked: func(to fleet.Ref) bool { return f.isBlocked(in.ID, to.ID) },
 		WrapCallerListener: func(l net.Listener) net.Listener {
-			wrapped := newListener(l)
+			wrapped := newTrackingListener(l)
 			in.listener.Store(wrapped)
 			return wrapped
 		},
 	}
 }
 
-// Node returns the present life of the instance.
+// Node returns the current incarnation of the instance.
 func (in *Instance) Node() *node.Node {
 	return in.node.Load()
 }
@@ -235,7 +236,7 @@
 	})
 }
 
-// Instances returns the instances that run.
+// Instances returns the running instances.
 func (f *Fleet) Instances() []*Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -250,7 +251,7 @@
 	return running
 }
 
-// EntryAddrs returns the callers' addresses of the instances that run.
+// EntryAddrs returns the addresses at which the running instances accept callers.
 func (f *Fleet) EntryAddrs() []string {
 	var addresses []string
 	for _, in := range f.Instances() {
@@ -259,84 +260,85 @@
 	return addresses
 }
 
-// Stop makes a planned stop and waits for it.
+// Stop stops the instance gracefully and waits for its end.
 func (in *Instance) Stop() error {
 	in.stop()
 	<-in.ended
 	return in.err
 }
 
-// Kill ends the instance with everything that is in flight.
+// Kill stops the instance at once, with its connections and the requests in flight.
 func (in *Instance) Kill() {
-	in.listener.Load().sever()
+	in.listener.Load().closeAll()
 	in.Node().Kill()
 	<-in.ended
 }
 
-// Ended is closed when the instance has ended.
+// Ended returns a channel that is closed when the instance has ended.
 func (in *Instance) Ended() <-chan struct{} {
 	return in.ended
 }
 
-// Err returns what ended the instance. It is valid once Ended is closed.
+// Err returns the error that ended the instance. It is valid once Ended is closed.
 func (in *Instance) Err() error {
 	return in.err
 }
 
-// BlockLink loses every message from one instance to another, in this direction only.
+// BlockLink drops every message from one instance to another, in this direction only.
 func (f *Fleet) BlockLink(from, to fleet.InstanceID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cuts[direction{from, to}] = true
+	f.blocked[link{from, to}] = true
 }
 
-// UnblockLinks undoes every Cut.
+// UnblockLinks removes every block that BlockLink has set.
 func (f *Fleet) UnblockLinks() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	clear(f.cuts)
+	clear(f.blocked)
 }
 
-func (f *Fleet) isCut(from, to fleet.InstanceID) bool {
+func (f *Fleet) isBlocked(from, to fleet.InstanceID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cuts[direction{from, to}]
+	return f.blocked[link{from, to}]
 }
 
-// WaitReady waits until every instance serves revision or a later one, sees every other
-// instance and has an endpoint for each service that it carries.
+// WaitReady waits until every instance serves revision or a later one, considers every other
+// instance alive and has an endpoint for each service that it carries.
 func (f *Fleet) WaitReady(ctx context.Context, revision fleet.Revision) error {
 	for {
-		behind := f.behind(revision)
-		if behind == "" {
+		reason := f.notReadyReason(revision)
+		if reason == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%w: %s", ErrNotReady, behind)
-		case <-time.After(readyPoll):
+			return fmt.Errorf("%w: %s", ErrNotReady, reason)
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// behind names the first instance that is not ready and what it lacks.
-func (f *Fleet) behind(revision fleet.Revision) string {
+// notReadyReason names the first instance that is not ready and what it waits for. It is
+// empty when all are ready.
+func (f *Fleet) notReadyReason(revision fleet.Revision) string {
 	instances := f.Instances()
 	for _, in := range instances {
 		s := in.Node().Status()
-		if lack := lacks(s, revision, len(instances)); lack != "" {
-			return fmt.Sprintf("instance %s %s", in.ID, lack)
+		if reason := statusNotReadyReason(s, revision, len(instances)); reason != "" {
+			return fmt.Sprintf("instance %s %s", in.ID, reason)
 		}
 	}
 	return ""
 }
 
-func lacks(s api.Status, revision fleet.Revision, instances int) string {
+func statusNotReadyReason(s api.Status, revision fleet.Revision, instances int) string {
 	if s.Revision < revision {
 		return fmt.Sprintf("has revision %d, want %d", s.Revision, revision)
 	}
-	if alive := alive(s.Members); alive < instances {
-		return fmt.Sprintf("sees %d instances alive, want %d", alive, instances)
+	if alive := countAlive(s.Members); alive < instances {
+		return fmt.Sprintf("considers %d instances alive, want %d", alive, instances)
 	}
 	for _, service := range s.Services {
 		if service.Carried && len(service.Endpoints) == 0 {
@@ -346,7 +348,7 @@
 	return ""
 }
 
-func alive(members []api.Member) int {
+func countAlive(members []api.Member) int {
 	count := 0
 	for _, m := range members {
 		if m.Status == "alive" {
@@ -356,7 +358,7 @@
 	return count
 }
 
-// Close kills what runs and stops the stand-ins.
+// Close kills the running instances and stops the platform and the upstreams.
 func (f *Fleet) Close() error {
 	for _, in := range f.Instances() {
 		in.Kill()
--- a/internal/local/fleet_test.go
+++ b/internal/local/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/damaskcove/damaskcove/internal/upstream"
 )
 
-// startFleet runs a fleet of one instance per zone with a lookup and an order service.
+// startFleet runs a fleet with a lookup and an order service; its instances are spread over three zones.
 func startFleet(t *testing.T, instances int) *Fleet {
 	t.Helper()
 	o := Options{
@@ -86,14 +86,14 @@
 
 func newCaller(t *testing.T, f *Fleet) *client.Client {
 	t.Helper()
-	return newWatchedCaller(t, f, NewCutOffCounter(), "z1")
+	return newCountedCaller(t, f, NewCutOffCounter(), "z1")
 }
 
-// newWatchedCaller returns a caller whose connections the watch sees.
-func newWatchedCaller(t *testing.T, f *Fleet, w *CutOffCounter, zone fleet.Zone) *client.Client {
+// newCountedCaller returns a caller whose cut-off requests are counted by counter.
+func newCountedCaller(t *testing.T, f *Fleet, counter *CutOffCounter, zone fleet.Zone) *client.Client {
 	t.Helper()
 	shared := &http.Client{
-		Transport:     w.WrapTransport(client.NewHTTP().Transport),
+		Transport:     counter.WrapTransport(client.NewHTTP().Transport),
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	c, err := client.New(client.Options{Entries: f.EntryAddrs(), Account: "brewer", Zone: zone, HTTP: shared})
@@ -103,8 +103,8 @@
 	return c
 }
 
-// ask sends one request with an ID of its own and checks that the answer is its own.
-func ask(ctx context.Context, c *client.Client, r client.Request, id string) (client.Answer, error) {
+// sendRequest sends a request under an ID and checks that a response with status 200 carries the same ID.
+func sendRequest(ctx context.Context, c *client.Client, r client.Request, id string) (client.Answer, error) {
 	r.Header = map[string][]string{upstream.HeaderRequestID: {id}}
 	a, err := c.Do(ctx, r)
 	if err != nil {
@@ -113,16 +113,16 @@
 	var body upstream.Answer
 	if a.Status == 200 {
 		if err := json.Unmarshal(a.Body, &body); err != nil {
-			return a, fmt.Errorf("answer of %s: %w", id, err)
+			return a, fmt.Errorf("response to %s: %w", id, err)
 		}
 		if body.RequestID != id {
-			return a, fmt.Errorf("answer of %s came for %s", body.RequestID, id)
+			return a, fmt.Errorf("response to %s arrived for %s", body.RequestID, id)
 		}
 	}
 	return a, nil
 }
 
-// testTimeout bounds every wait of these tests; it judges no speed.
+// testTimeout bounds every wait of these tests. It is no performance target.
 const testTimeout = 2 * time.Minute
 
 func testContext(t *testing.T) context.Context {
@@ -138,12 +138,12 @@
 	defer cancel()
 	for i := range 20 {
 		id := fmt.Sprintf("lookup-%d", i)
-		a, err := ask(ctx, c, client.Request{Service: "stock", Method: "GET", URI: "/stock/1", Idempotent: true}, id)
+		a, err := sendRequest(ctx, c, client.Request{Service: "stock", Method: "GET", URI: "/stock/1", Idempotent: true}, id)
 		if err != nil || a.Status != 200 {
 			t.Fatalf("%s: status %d code %d: %v", id, a.Status, a.Code, err)
 		}
 		id = fmt.Sprintf("order-%d", i)
-		a, err = ask(ctx, c, client.Request{Service: "drums", Method: "POST", URI: "/drums", Body: []byte(id)}, id)
+		a, err = sendRequest(ctx, c, client.Request{Service: "drums", Method: "POST", URI: "/drums", Body: []byte(id)}, id)
 		if err != nil || a.Status != 200 || a.Execution != client.ExecutionRan {
 			t.Fatalf("%s: status %d code %d execution %s body %q: %v", id, a.Status, a.Code, a.Execution, a.Body, err)
 		}
--- a/internal/local/listener.go
+++ b/internal/local/listener.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// listener remembers the connections that it accepted, so that all can be closed at once.
-type listener struct {
+// trackingListener tracks the connections that it has accepted, so that all can be closed at once.
+type trackingListener struct {
 	net.Listener
 
 	mu     sync.Mutex
@@ -16,12 +16,12 @@
 	closed bool
 }
 
-func newListener(l net.Listener) *listener {
-	return &listener{Listener: l, open: make(map[net.Conn]struct{})}
+func newTrackingListener(l net.Listener) *trackingListener {
+	return &trackingListener{Listener: l, open: make(map[net.Conn]struct{})}
 }
 
-// Accept accepts a connection and remembers it.
-func (l *listener) Accept() (net.Conn, error) {
+// Accept accepts a connection and tracks it.
+func (l *trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -33,11 +33,11 @@
 		return nil, net.ErrClosed
 	}
 	l.open[c] = struct{}{}
-	return &conn{Conn: c, listener: l}, nil
+	return &trackedConn{Conn: c, listener: l}, nil
 }
 
-// sever closes the listener and every connection.
-func (l *listener) sever() {
+// closeAll closes the listener and every tracked connection.
+func (l *trackingListener) closeAll() {
 	_ = l.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,26 +47,26 @@
 	}
 }
 
-func (l *listener) forget(c net.Conn) {
+func (l *trackingListener) remove(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
 }
 
-// conn is one accepted connection.
-type conn struct {
+// trackedConn is one tracked connection.
+type trackedConn struct {
 	net.Conn
-	listener *listener
+	listener *trackingListener
 }
 
-// Close closes the connection and forgets it.
-func (c *conn) Close() error {
-	c.listener.forget(c.Conn)
+// Close closes the connection and stops tracking it.
+func (c *trackedConn) Close() error {
+	c.listener.remove(c.Conn)
 	return c.Conn.Close()
 }
 
-// SyscallConn returns the connection's socket, which the entry looks at.
-func (c *conn) SyscallConn() (syscall.RawConn, error) {
+// SyscallConn returns the connection's socket. The entry peeks at it to detect that the caller has gone.
+func (c *trackedConn) SyscallConn() (syscall.RawConn, error) {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, fmt.Errorf("connection from %s has no socket", c.RemoteAddr())
