--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,4 @@
-// Package examples holds ready-made templates of two firms, as files and embedded.
+// Package examples holds the templates of two example firms, as files and embedded.
 package examples
 
 import (
@@ -13,7 +13,7 @@
 //go:embed bunya-ridge qalqan
 var Files embed.FS
 
-// Firm names a directory of Files.
+// Firm is the name of a firm and of its directory in Files.
 type Firm string
 
 // Firms.
@@ -22,13 +22,13 @@
 	Qalqan     Firm = "qalqan"
 )
 
-// Zones of each firm, and the region that they lie in.
+// Availability zones of each firm.
 var (
 	BunyaRidgeZones = []string{"seq-1", "seq-2", "seq-3"}
 	QalqanZones     = []string{"almaty-1", "almaty-2", "shymkent-1"}
 )
 
-// Regions of each firm.
+// Region of each firm's zones.
 const (
 	BunyaRidgeRegion = "queensland"
 	QalqanRegion     = "south-kazakhstan"
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -7,7 +7,7 @@
 	"github.com/damaskcove/damaskcove/internal/template"
 )
 
-func TestExamplesAreValidAndOfTheirSizes(t *testing.T) {
+func TestExamplesAreValidAndHaveExpectedSizes(t *testing.T) {
 	for firm, sizes := range map[Firm]map[fleet.Service]template.Size{
 		BunyaRidge: {"stock": {Endpoints: 10, SlotsPerEndpoint: 4}, "drums": {Endpoints: 20, SlotsPerEndpoint: 4}, "pickups": {Endpoints: 6, SlotsPerEndpoint: 4}},
 		Qalqan:     {"fabrics": {Endpoints: 7, SlotsPerEndpoint: 3}, "cuts": {Endpoints: 15, SlotsPerEndpoint: 3}, "fittings": {Endpoints: 6, SlotsPerEndpoint: 3}},
@@ -24,8 +24,8 @@
 				t.Errorf("%s: service %s: size %+v, want %+v", firm, service, set.Sizes[service], size)
 			}
 		}
-		if faults := set.Config().Validate(); len(faults) > 0 {
-			t.Errorf("%s: %v", firm, faults)
+		if invalid := set.Config().Validate(); len(invalid) > 0 {
+			t.Errorf("%s: %v", firm, invalid)
 		}
 	}
 }
--- a/examples/local_test.go
+++ b/examples/local_test.go
@@ -7,7 +7,7 @@
 	"github.com/damaskcove/damaskcove/internal/settings"
 )
 
-func TestSettingsOfTheLocalFleetAreValid(t *testing.T) {
+func TestLocalFleetSettingsAreValid(t *testing.T) {
 	for i := 1; i <= 3; i++ {
 		name := fmt.Sprintf("local/entry-%d.toml", i)
 		s, err := settings.Load(name)
--- a/internal/metastore/platform.go
+++ b/internal/metastore/platform.go
@@ -45,7 +45,7 @@
 	Version Version
 }
 
-// Store is the platform's key-value store. The platform counts every call; a Watch counts once however long it waits.
+// Store is the platform's key-value store. The platform counts every call; a waiting Watch counts as one call.
 type Store interface {
 	// Get reads a key. It returns ErrNotFound when the key is absent.
 	Get(ctx context.Context, key string) (Value, error)
--- a/internal/metastore/standin/counts.go
+++ b/internal/metastore/standin/counts.go
@@ -10,7 +10,7 @@
 // rateWindow is the time over which Counts averages the call rates.
 const rateWindow = 10 * time.Second
 
-// Counts are the calls that the platform has received. A watch counts once however long it waits.
+// Counts are the calls that the platform has received. A waiting watch counts as one call.
 type Counts struct {
 	Total     uint64            `json:"total"`
 	Reads     uint64            `json:"reads"`  // Get, watch and list.
--- a/internal/refusals/refusals.go
+++ b/internal/refusals/refusals.go
@@ -1,4 +1,5 @@
-// Package refusals counts what the control duties refuse, by numbered result code.
+// Package refusals counts the requests and messages that the control components reject, by
+// numbered result code.
 package refusals
 
 import (
@@ -8,23 +9,25 @@
 	"github.com/damaskcove/damaskcove/coord/result"
 )
 
-// counts is published as "refused": the number of refusals by code.
+// counts is the metric "refused": the number of rejections by result code.
 var counts = expvar.NewMap("refused")
 
-// Publisher turns a duty's running totals into counts. It is for one goroutine.
+// Publisher adds the running totals of one component to the metric. It is not safe for
+// concurrent use.
 type Publisher struct {
 	last map[result.Code]uint64
 }
 
-// Publish adds what the totals have grown by since the last call, and reports whether any did.
+// Publish adds the growth of the totals since the last call, and reports whether any total
+// has grown.
 func (t *Publisher) Publish(totals map[result.Code]uint64) bool {
-	grown := false
+	anyGrowth := false
 	for code, total := range totals {
 		if growth := total - t.last[code]; growth > 0 {
 			counts.Add(strconv.Itoa(int(code)), int64(growth))
-			grown = true
+			anyGrowth = true
 		}
 	}
 	t.last = totals
-	return grown
+	return anyGrowth
 }
--- a/internal/sockpeek/sockpeek.go
+++ b/internal/sockpeek/sockpeek.go
@@ -1,4 +1,5 @@
-// Package sockpeek tells what waits on a connection without reading it.
+// Package sockpeek checks whether a connection has unread data or is closed, without
+// consuming any data.
 package sockpeek
 
 import (
@@ -6,18 +7,18 @@
 	"syscall"
 )
 
-// State is what a look at a connection found.
+// State is the result of a Peek.
 type State uint8
 
 // States of a connection.
 const (
-	Unknown  State = iota // It cannot be looked at: no socket, or the look failed.
-	Idle                  // Open, with nothing to read.
-	Readable              // Bytes wait.
-	Closed                // The other side has closed it, or it is broken.
+	Unknown  State = iota // The connection has no socket, or the peek has not run.
+	Idle                  // Open, without unread data.
+	Readable              // Open, with unread data.
+	Closed                // Closed by the other side, or broken.
 )
 
-// Peek returns the state of a connection. It must not run beside a Read of it.
+// Peek returns the state of a connection. It must not run concurrently with a Read of it.
 func Peek(c net.Conn) State {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -31,7 +32,7 @@
 	err = access.Read(func(fd uintptr) bool {
 		var one [1]byte
 		n, _, e := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		state = result(n, e)
+		state = stateOf(n, e)
 		return true
 	})
 	if err != nil {
@@ -40,8 +41,8 @@
 	return state
 }
 
-// result returns the state that a peek of one byte tells.
-func result(n int, err error) State {
+// stateOf maps the result of a one-byte peek to a State.
+func stateOf(n int, err error) State {
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EWOULDBLOCK || err == syscall.EINTR:
 		return Idle
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,5 +1,6 @@
 // Package tracing sets up OpenTelemetry: one span for each hop of a request, with the
-// W3C trace context taken from callers and passed on to instances and upstreams.
+// W3C trace context extracted from callers' requests and injected into the requests to
+// instances and upstreams.
 package tracing
 
 import (
@@ -19,7 +20,7 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// Exporter names where spans go.
+// Exporter is the destination of the spans.
 type Exporter string
 
 // Exporters.
@@ -29,28 +30,28 @@
 	ExporterOTLP   Exporter = "otlp" // Over HTTP.
 )
 
-// ErrUnknownExporter says that the exporter's name is not known.
+// ErrUnknownExporter means that Config.Exporter is not one of the Exporter values.
 var ErrUnknownExporter = errors.New("unknown trace exporter")
 
-// TraceParentHeader is the header of the W3C trace context.
+// TraceParentHeader is the header that carries the W3C trace context.
 const TraceParentHeader = "traceparent"
 
-// tracerName names the instrumentation.
+// tracerName is the instrumentation scope of the spans.
 const tracerName = "github.com/damaskcove/damaskcove"
 
-// Config says where spans go and who sends them.
+// Config configures the exporter and the attributes that identify this instance.
 type Config struct {
 	Exporter Exporter
 	URL      string // Of the OTLP collector.
 	Instance string
 	Zone     string
 	Output   io.Writer // For ExporterStdout.
-	// SampleShare is the share of requests that are traced when they come without a
-	// trace context, 0 to 1; those that come with one follow it.
+	// SampleShare is the share of the requests without a trace context that are traced,
+	// 0 to 1. Requests with a trace context follow its sampling decision.
 	SampleShare float64
 }
 
-// Start returns a tracer and the function that sends what is left and stops it.
+// Start returns a tracer and a function that exports the remaining spans and stops it.
 func Start(ctx context.Context, cfg Config) (trace.Tracer, func(context.Context) error, error) {
 	if cfg.Exporter == ExporterNone || cfg.Exporter == "" {
 		return noop.NewTracerProvider().Tracer(tracerName), func(context.Context) error { return nil }, nil
@@ -83,10 +84,10 @@
 	}
 }
 
-// propagator carries the W3C trace context.
+// propagator encodes and decodes the W3C trace context.
 var propagator = propagation.TraceContext{}
 
-// Extract returns ctx with the remote span that a traceparent header names.
+// Extract returns ctx with the remote span of a traceparent header.
 func Extract(ctx context.Context, traceParent string) context.Context {
 	if traceParent == "" {
 		return ctx
@@ -95,7 +96,7 @@
 	return propagator.Extract(ctx, carrier)
 }
 
-// Inject returns the traceparent header of ctx's span, or fallback when ctx has none.
+// Inject returns the traceparent header for ctx's span, or fallback when ctx has no span.
 func Inject(ctx context.Context, fallback string) string {
 	if !trace.SpanContextFromContext(ctx).IsValid() {
 		return fallback
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -23,12 +23,12 @@
 			t.Fatal(err)
 		}
 		if got := strings.Count(out.String(), `"Name":"request"`); got != want {
-			t.Errorf("share %v: %d spans of %d", share, got, spans)
+			t.Errorf("sample share %v: %d of %d spans exported", share, got, spans)
 		}
 	}
 }
 
-func TestSampledCallersAreFollowed(t *testing.T) {
+func TestSampledTraceContextIsFollowed(t *testing.T) {
 	const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	var out bytes.Buffer
 	tracer, stop, err := Start(context.Background(), Config{Exporter: ExporterStdout, Output: &out})
@@ -41,12 +41,12 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), "0af7651916cd43dd8448eb211c80319c") {
-		t.Fatalf("a sampled caller's request was not traced: %s", out.String())
+		t.Fatalf("a request with a sampled trace context was not traced: %s", out.String())
 	}
 }
 
-func TestExporterIsChecked(t *testing.T) {
+func TestUnknownExporterIsRejected(t *testing.T) {
 	if _, _, err := Start(context.Background(), Config{Exporter: "pigeon"}); err == nil {
-		t.Fatal("taken")
+		t.Fatal("an unknown exporter was accepted")
 	}
 }
