--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -65,7 +65,7 @@
 	pollAt           time.Time
 	refreshedAt      time.Time
 	reportedCounters rollout.Counters
-	rejections       refusals.Tally
+	rejections       refusals.Publisher
 }
 
 // New returns a Duty without a configuration. Its calls to the store end with ctx.
@@ -192,7 +192,7 @@
 		return
 	}
 	d.reportedCounters = c
-	changed := d.rejections.Report(map[result.Code]uint64{
+	changed := d.rejections.Publish(map[result.Code]uint64{
 		result.CodePeerOtherFleet: c.OtherFleet,
 		result.CodePeerMalformed:  c.Malformed + c.Unsolicited,
 		result.CodeConfigDigest:   c.WrongDigest,
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -184,7 +184,7 @@
 	for i, f := range r.firms {
 		r.countRequests(report, f)
 		r.countService(report, f, r.scenarios[i])
-		report.CutOffByStop += f.watch.CutOffs()
+		report.CutOffByStop += f.watch.Count()
 		report.ConfigReverts += r.monitors[i].revertCount()
 		report.ConfigActiveMS = max(report.ConfigActiveMS, milliseconds(r.scenarios[i].maxActivation))
 		report.StoreCalls += f.fleet.Platform.Counts().Total
--- a/internal/demo/revisions.go
+++ b/internal/demo/revisions.go
@@ -45,7 +45,7 @@
 // run polls until ctx ends.
 func (r *revisionMonitor) run(ctx context.Context) {
 	for {
-		for _, address := range r.firm.fleet.Entries() {
+		for _, address := range r.firm.fleet.EntryAddrs() {
 			r.poll(ctx, address)
 		}
 		select {
@@ -88,7 +88,7 @@
 // activeEverywhere reports whether every running instance uses the given revision or a later
 // one.
 func (r *revisionMonitor) activeEverywhere(revision fleet.Revision) bool {
-	entries := r.firm.fleet.Entries()
+	entries := r.firm.fleet.EntryAddrs()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, address := range entries {
--- a/internal/demo/scenario.go
+++ b/internal/demo/scenario.go
@@ -119,12 +119,12 @@
 
 func (s *scenario) cutLink(context.Context) error {
 	instances := s.firm.fleet.Instances()
-	s.firm.fleet.Cut(instances[0].ID, instances[1].ID)
+	s.firm.fleet.BlockLink(instances[0].ID, instances[1].ID)
 	return nil
 }
 
 func (s *scenario) healLinks(context.Context) error {
-	s.firm.fleet.Heal()
+	s.firm.fleet.UnblockLinks()
 	return nil
 }
 
@@ -175,7 +175,7 @@
 // its end.
 func (s *scenario) plannedStop(context.Context) error {
 	in := s.instanceWithoutCut(0)
-	s.firm.watch.PlannedStop(in.Node().Self().EntryAddr)
+	s.firm.watch.MarkStopping(in.Node().Self().EntryAddr)
 	go func() { s.stopResult <- in.Stop() }()
 	return nil
 }
