--- a/coord/broker/rank.go
+++ b/coord/broker/rank.go
@@ -13,18 +13,18 @@
 type Instance struct {
 	Incarnation uint64  // Changes when the instance restarts.
 	Key         string  // Stays the same over a restart; it orders instances with equal links.
-	LinkMbps    float64 // A stand-in for the size of the machine: faster links come with faster processors.
+	LinkMbps    float64 // Indicates the size of the machine: faster links come with faster processors.
 }
 
 const (
-	// MaxCoordinators is the most coordinators of a zone.
+	// MaxCoordinators is the maximum number of coordinators of a zone.
 	MaxCoordinators = 3
-	// minCoordinators is the fewest, so that one remains when another fails.
+	// minCoordinators is the minimum in a zone with enough instances, so that one remains when another fails.
 	minCoordinators = 2
 )
 
-// Coordinators returns the coordinators of a zone: its two or three instances with the fastest
-// links. It reorders list.
+// Coordinators returns the coordinators of a zone: its two instances with the fastest links, and
+// a third if the links of all three are equally fast. It reorders list.
 func Coordinators(list []Instance) []Instance {
 	slices.SortFunc(list, func(a, b Instance) int {
 		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.Key, b.Key))
--- a/coord/claim/limits.go
+++ b/coord/claim/limits.go
@@ -31,11 +31,11 @@
 	DefaultGrantTimeout       = 600 * time.Millisecond
 )
 
-// sealReserveDivisor reserves room for seals and outcomes once the table is full for new claims
-// and submissions: they may exceed MaxKeys and MaxBytes by the limit divided by it.
+// sealReserveDivisor sets how far seals and outcomes may exceed MaxKeys and MaxBytes: by the limit
+// divided by it. So there is room for them when the table is full for new claims and submissions.
 const sealReserveDivisor = 8
 
-// DefaultLimits returns the limits of an entry instance.
+// DefaultLimits returns the limits that an instance uses by default.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxKeys:            DefaultMaxKeys,
--- a/coord/dispatch/machine.go
+++ b/coord/dispatch/machine.go
@@ -19,7 +19,7 @@
 	peerStates    map[PeerID]peerState
 	responseKB    map[string]*ewma[float64] // Size of response bodies, by class.
 	events        []Event                   // Not yet taken.
-	urgent        bool                      // One of events is a failure, a retry or a trial.
+	urgent        bool                      // One of events is a failure, an overdue request, a retry, or a request to an unproven endpoint.
 
 	peerCount   int // Other instances in the fleet.
 	peersByZone map[string]int
@@ -287,7 +287,8 @@
 }
 
 // ExpirePeers drops the requests in flight of peers that have been silent for PeerTimeout. While
-// less than half of the peers report, retries go uncounted, and the retry window starts anew.
+// fewer than half of the peers report, this instance may miss retries of the others, and its count
+// of the retry window starts anew.
 func (m *Machine) ExpirePeers(now time.Time) {
 	if 2*m.livePeers(now) < m.peerCount {
 		m.countingSince = now
--- a/coord/dispatch/selection.go
+++ b/coord/dispatch/selection.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Weights of an endpoint's score, in parts of one request's credit.
+// Weights of an endpoint's score, in parts of one request's credit. A response within the
+// objective earns the full credit of 1.
 const (
 	// lateCredit is the credit of a response that comes after the objective.
 	lateCredit = 0.5
@@ -56,7 +57,7 @@
 	// inUseWindow is how long an endpoint counts as in use after a request, well within the two
 	// seconds over which use is judged.
 	inUseWindow = 1500 * time.Millisecond
-	// minSpreadSamples is the fewest requests from which the unserved share is computed.
+	// minSpreadSamples is the minimum number of requests from which the unserved share is computed.
 	minSpreadSamples = 10
 	// failureBackoff is how long a failed endpoint is avoided even while requests are spread.
 	failureBackoff = 1800 * time.Millisecond
@@ -102,9 +103,10 @@
 	return inTime == 0 || !idempotent && c.chance*inTime < minSuccessChance
 }
 
-// due reports whether an endpoint is to be used because it has not been for long: with refresh
-// if it is likely healthy, and with spread whatever its chance, unless it has just failed.
-func (c candidate) due(now time.Time, refresh, spread, idempotent, otherZone bool) bool {
+// due reports whether an endpoint is to be used because it has not been used for an interval. With
+// tryHealthy it is due if its chance is high enough, with spread whatever its chance, unless it
+// has just failed.
+func (c candidate) due(now time.Time, tryHealthy, spread, idempotent, otherZone bool) bool {
 	minChance, interval := healthyChance, useInterval
 	if idempotent {
 		minChance, interval = probeChance, probeInterval
@@ -115,7 +117,7 @@
 	if now.Sub(c.endpoint.lastUsed) < interval {
 		return false
 	}
-	return refresh && c.chance >= minChance || spread && now.Sub(c.endpoint.lastFailed) > failureBackoff
+	return tryHealthy && c.chance >= minChance || spread && now.Sub(c.endpoint.lastFailed) > failureBackoff
 }
 
 // usedByOtherZone reports whether an endpoint is in another zone that has instances to use it.
--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -5,7 +5,7 @@
 
 import "strconv"
 
-// InstanceID identifies an entry instance for as long as its address is in use.
+// InstanceID identifies an instance for as long as its address is in use.
 type InstanceID string
 
 // Zone names an availability zone.
@@ -20,7 +20,7 @@
 // Account names a client account.
 type Account string
 
-// Endpoint is the IP number and port of one upstream endpoint, as "192.0.2.7:8080".
+// Endpoint is the IP address and port of one upstream endpoint, as "192.0.2.7:8080".
 type Endpoint string
 
 // Revision numbers the accepted configurations of a fleet, starting at 1.
@@ -45,14 +45,14 @@
 	return r == Ref{}
 }
 
-// Instance describes one incarnation of an entry instance.
+// Instance describes one incarnation of an instance.
 type Instance struct {
 	Ref       Ref    `cbor:"1,keyasint" json:"ref"`
 	Zone      Zone   `cbor:"2,keyasint" json:"zone"`
 	Region    Region `cbor:"3,keyasint" json:"region"`
-	EntryAddr string `cbor:"4,keyasint" json:"entry_addr"` // IP number and port for callers.
-	PeerAddr  string `cbor:"5,keyasint" json:"peer_addr"`  // IP number and port for other instances.
-	// OperatorAddr is the IP number and port for operators; empty when unknown.
+	EntryAddr string `cbor:"4,keyasint" json:"entry_addr"` // IP address and port for callers.
+	PeerAddr  string `cbor:"5,keyasint" json:"peer_addr"`  // IP address and port for other instances.
+	// OperatorAddr is the IP address and port for operators; empty when unknown.
 	OperatorAddr string `cbor:"6,keyasint,omitempty" json:"operator_addr,omitempty"`
 }
 
--- a/coord/following/following.go
+++ b/coord/following/following.go
@@ -18,8 +18,8 @@
 // changes reach the others while the failure of one is not yet detected.
 const FollowersPerZone = 2
 
-// takeoverDelay is how long an instance waits for each other one with a lower key to follow and
-// to report it: many times a call of the store and a message.
+// takeoverDelay is how long an instance waits, for each passive peer with a lower key, for that
+// peer to follow the store and report it: many times the latency of a store call and a message.
 const takeoverDelay = 200 * time.Millisecond
 
 // Peer is another instance of the same availability zone that has sent a message recently.
@@ -47,30 +47,30 @@
 
 // ShouldFollow reports whether the instance is to follow the store itself.
 func (m *Machine) ShouldFollow(now time.Time, peers []Peer) bool {
-	followers, waiting := 0, 0
+	followers, passivePeers := 0, 0
 	for _, p := range peers {
 		switch {
 		case p.Key > m.self:
 		case p.Following:
 			followers++
 		default:
-			waiting++
+			passivePeers++
 		}
 	}
 	switch {
 	case followers >= FollowersPerZone:
 		m.passive, m.tooFewSince = true, time.Time{}
 	case !m.passive:
-	case m.tooFewSince.IsZero() && waiting > 0:
+	case m.tooFewSince.IsZero() && passivePeers > 0:
 		m.tooFewSince = now
-	case now.Sub(m.tooFewSince) >= time.Duration(waiting)*takeoverDelay:
+	case now.Sub(m.tooFewSince) >= time.Duration(passivePeers)*takeoverDelay:
 		m.passive = false
 	}
 	return !m.passive
 }
 
-// IsPreferredFollower reports whether the instance is to follow the store if the store refuses no
-// one. While it refuses all instances, preferred followers retry often and the others seldom.
+// IsPreferredFollower reports whether the instance is to follow the store when the store refuses
+// no instance. While it refuses all instances, preferred followers retry often and the others seldom.
 func (m *Machine) IsPreferredFollower(peers []Peer) bool {
 	lower := 0
 	for _, p := range peers {
--- a/coord/health/api.go
+++ b/coord/health/api.go
@@ -55,8 +55,8 @@
 const (
 	StateInService State = iota + 1 // In service.
 	StateEjected                    // Out of service in all zones.
-	StateAvoided                    // Out of service in this carrier's zone, which cannot reach it, but not in all zones.
-	StateTrial                      // Ejected, and taking trial requests.
+	StateAvoided                    // Out of service in this carrier's zone, but not in all zones.
+	StateTrial                      // Ejected or avoided, but taking trial requests.
 )
 
 // EndpointView is the state of one endpoint for a carrier, or at the evaluator, with the figures behind it.
--- a/coord/health/decide.go
+++ b/coord/health/decide.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// avoid takes an endpoint out of service for one zone, or for all when it is avoided from every other zone.
+// avoid takes an endpoint out of service for one zone, or for all when every other zone avoids it already.
 func (ev *Evaluator) avoid(now time.Time, ep *endpointState, zone, test int) {
 	score := max(ep.scopes[1+zone].tests[test].score, ep.scopes[0].tests[test].score)
 	zones := []fleet.Zone{ev.zones[zone]}
--- a/coord/health/doc.go
+++ b/coord/health/doc.go
@@ -3,7 +3,7 @@
 //
 // A service's carriers are the instances that send requests to it. Each carrier sums up its
 // attempts per endpoint as Evidence and sends it to the service's evaluator, an instance that
-// answers each Evidence with one Decision: the endpoints to remove. A decision is a lease. With
+// answers each Evidence with one Decision: the endpoints to remove. A decision expires after a lease time. With
 // its evidence a carrier also votes for the evaluator, for at most one at a time; the slots that
 // an evaluator may remove follow from the votes that it holds. Carrier and Evaluator are state
 // machines: events and the time in, messages out.
@@ -11,9 +11,9 @@
 // Guarantees, for any loss, delay, duplication or replay of messages, any pause or
 // restart, and any network partition in which each side has an evaluator:
 //
-//   - The slots of all endpoints that any carriers hold ejected never exceed the ready
-//     slots minus the service's floor, by the largest list that an evaluator used in the
-//     last lease time. An endpoint that a zone avoids counts like an ejected one for
+//   - The slots of all endpoints that are ejected at any carrier never exceed the ready
+//     slots of the largest list that an evaluator used in the last lease time, minus the
+//     service's floor. An endpoint that a zone avoids counts like an ejected one for
 //     the carriers of that zone.
 //   - A carrier's own view never goes below the floor by its own list.
 //   - A decision expires at a carrier one lease time after the carrier sent the evidence
--- a/coord/health/ledger.go
+++ b/coord/health/ledger.go
@@ -41,7 +41,8 @@
 // ledger accounts for the slots that an evaluator's unexpired decisions remove, per zone of carriers.
 //
 // A decision may remove an endpoint that the last one did not only if its slots, with those
-// of all endpoints in unexpired decisions, fit the current allowance. So the removals in force
+// of all endpoints in unexpired decisions, fit the current allowance: the slots that
+// Evaluator.Budget returns. So the removals in force
 // at any time fit an allowance whose votes are all still valid.
 type ledger struct {
 	charges map[fleet.Zone]map[EndpointKey]charge
@@ -63,13 +64,13 @@
 
 // expire drops the charges of endpoints that no unexpired decision removes.
 func (l *ledger) expire(now time.Time) {
-	for zone, reserved := range l.charges {
-		for key, c := range reserved {
+	for zone, zoneCharges := range l.charges {
+		for key, c := range zoneCharges {
 			if !now.Before(c.until) {
-				delete(reserved, key)
+				delete(zoneCharges, key)
 			}
 		}
-		if len(reserved) == 0 {
+		if len(zoneCharges) == 0 {
 			delete(l.charges, zone)
 		}
 	}
@@ -116,7 +117,8 @@
 	return total+r.otherCharges(key, zone) <= r.allowance
 }
 
-// otherCharges returns the slots that unexpired decisions remove, without key and the endpoints of this reservation.
+// otherCharges returns the slots that unexpired decisions remove in a zone, except those of
+// key and of the endpoints in this reservation.
 func (r *reservation) otherCharges(key EndpointKey, zone fleet.Zone) int {
 	total := 0
 	for other, c := range r.ledger.charges[zone] {
--- a/coord/membership/machine.go
+++ b/coord/membership/machine.go
@@ -232,8 +232,9 @@
 }
 
 // detectPause detects a gap between ticks, during which this instance received nothing. It
-// restarts the neighbours' timeouts, which would blame them for it, and requires a heartbeat
-// before this instance writes the roster again.
+// restarts the timeouts of the neighbours, whose heartbeats may have been lost meanwhile, and the
+// times since which members are missing. This member does not write the roster again before it
+// receives a heartbeat or 2*SuspectAfter has passed.
 func (m *Machine) detectPause() {
 	gap := m.now.Sub(m.lastTick)
 	paused := !m.lastTick.IsZero() && gap >= m.cfg.SuspectAfter/2
--- a/coord/membership/writer.go
+++ b/coord/membership/writer.go
@@ -69,7 +69,7 @@
 	return m.now.Sub(m.writer.pendingSince) >= m.cfg.BatchInterval+time.Duration(rank)*m.cfg.WriterStagger
 }
 
-// recentlyPaused reports whether this instance was paused a short time ago and has received no heartbeat since.
+// recentlyPaused reports whether this instance was paused less than 2*SuspectAfter ago and has received no heartbeat since.
 func (m *Machine) recentlyPaused() bool {
 	return !m.writer.pauseEndedAt.IsZero() && m.now.Sub(m.writer.pauseEndedAt) < 2*m.cfg.SuspectAfter
 }
--- a/coord/retrybudget/retrybudget.go
+++ b/coord/retrybudget/retrybudget.go
@@ -28,7 +28,7 @@
 	// slices is the number of slices of the window; a count leaves the window at most one slice late.
 	slices = 20
 	// spendable is the part of the bound that is spent. The rest is a margin for retries that
-	// other instances have sent but not yet reported, and for a window in which all restart.
+	// other instances have sent but not yet reported, and for a window in which all instances restart.
 	spendable = 0.85
 )
 
--- a/coord/routing/api.go
+++ b/coord/routing/api.go
@@ -12,7 +12,7 @@
 // States of an endpoint.
 const (
 	StateAvailable EndpointState = iota // Takes any request.
-	StateExcluded                       // Ejected, or unreachable from this zone: takes no requests.
+	StateExcluded                       // Out of service in this zone: takes no requests.
 	StateTrial                          // Takes one trial request at a time: idempotent, and hedged on another endpoint.
 	StateCold                           // In slow start: its limit grows from one.
 	StateDraining                       // Takes no new requests; running attempts finish.
--- a/coord/routing/latency.go
+++ b/coord/routing/latency.go
@@ -11,7 +11,7 @@
 	latencyBuckets    = latencyExponents << latencySubBits
 	latencyWindow     = 10 * time.Second
 	latencyMinSamples = 20
-	latencyRefresh    = 64 // Samples between two updates of the quantiles.
+	latencyRefresh    = 64 // Samples between two updates of the quantiles; up to that many, each sample updates them.
 )
 
 // latencyHistogram counts latencies in the current and the previous window.
--- a/coord/routing/request.go
+++ b/coord/routing/request.go
@@ -3,11 +3,11 @@
 import "time"
 
 type attempt struct {
-	endpoint *endpoint
-	result   AttemptResult // Zero while it is running.
-	hedge    bool
-	trial    bool
-	canceled bool // A CancelAttempt effect was issued.
+	endpoint  *endpoint
+	result    AttemptResult // Zero while it is running.
+	hedge     bool
+	trial     bool
+	cancelled bool // A CancelAttempt effect was issued.
 }
 
 func (a *attempt) running() bool { return a.result == 0 }
--- a/coord/routing/running.go
+++ b/coord/routing/running.go
@@ -55,8 +55,8 @@
 	e.meanLatency.add(now, latency, endpointMeanWeight)
 }
 
-// handleResult delivers, retries or keeps waiting for other attempts after an attempt of
-// a request that has not ended.
+// handleResult handles the end of an attempt of a request that has not ended: it delivers
+// the outcome, retries the request, or waits for its other attempts.
 func (b *Balancer) handleResult(now time.Time, r *request, number int) {
 	if r.attempts[number-1].result == AttemptSucceeded {
 		b.deliver(r, number)
@@ -118,10 +118,10 @@
 func (b *Balancer) cancelRunning(r *request, includeTrials bool) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if !a.running() || a.canceled || (a.trial && !includeTrials) {
+		if !a.running() || a.cancelled || (a.trial && !includeTrials) {
 			continue
 		}
-		a.canceled = true
+		a.cancelled = true
 		b.effects = append(b.effects, CancelAttempt{ID: r.ID, Attempt: i + 1})
 	}
 }
