--- a/coord/health/baseline.go
+++ b/coord/health/baseline.go
@@ -22,8 +22,8 @@
 	maxResidual        = 2.5 // Bound of a latency's distance from the baseline, in nats.
 )
 
-// extraFailureShares are, by test, the shares of the requests a healthy endpoint would answer
-// that an unhealthy one fails.
+// extraFailureShares are the assumed failure shares of an unhealthy endpoint, by test: of the
+// requests that a healthy endpoint would answer, the share that the unhealthy one fails.
 var extraFailureShares = [...]float64{testSomeFail: 0.2, testMostFail: 0.8}
 
 // minBaselineRequests is the number of requests from which an endpoint's averages enter the baseline.
--- a/coord/health/carrier_view.go
+++ b/coord/health/carrier_view.go
@@ -8,8 +8,9 @@
 	"github.com/damaskcove/damaskcove/coord/fleet"
 )
 
-// View returns every endpoint of the service, in the order of the platform's list. It leaves out
-// removals that would break the floor, those with the lowest score first.
+// View returns every endpoint of the service, in the order of the platform's list. Removals that
+// would break the floor are left out: those of newer decisions go first, and within a decision
+// those that it lists first.
 func (c *Carrier) View(now time.Time) []EndpointView {
 	views := make([]EndpointView, len(c.upstreams))
 	for i, u := range c.upstreams {
--- a/coord/rollout/machine.go
+++ b/coord/rollout/machine.go
@@ -251,7 +251,8 @@
 	return m.flush()
 }
 
-// Tick repeats requests that were not answered in time.
+// Tick requests the first configuration or newer changes, repeats requests that were not answered
+// in time, and applies the candidate if it is complete.
 func (m *Machine) Tick(now time.Time) []Effect {
 	if m.startedAt.IsZero() {
 		m.startedAt = now
@@ -283,7 +284,7 @@
 	if m.candidate != nil {
 		have = max(have, m.candidate.head.Revision)
 	}
-	var behind []fleet.Ref
+	var ahead []fleet.Ref
 	for _, peer := range m.peers {
 		if m.peerRevisions[peer] <= have {
 			continue
@@ -291,10 +292,10 @@
 		if !m.mayRequest(now, peer) {
 			return
 		}
-		behind = append(behind, peer)
+		ahead = append(ahead, peer)
 	}
-	if len(behind) > 0 {
-		m.requestHead(now, m.leastRecentlyRequested(behind))
+	if len(ahead) > 0 {
+		m.requestHead(now, m.leastRecentlyRequested(ahead))
 	}
 }
 
