--- a/internal/gateway/incident_test.go
+++ b/internal/gateway/incident_test.go
@@ -103,6 +103,14 @@
 	hold := make(chan struct{})
 	silent.hold.Store(&hold)
 	eventually(t, "ready", func() bool { return in.ready(t) })
+	// An instance is ready once it has a configuration, which may arrive before the upstream's registration.
+	eventually(t, "the upstream is in use", func() bool {
+		known := make(chan bool, 1)
+		in.gateway.control.post(func() {
+			known <- in.gateway.control.machine.Chance(time.Now(), endpointID(silent.id)) > 0
+		})
+		return <-known
+	})
 	type answered struct {
 		status int
 		body   string
