--- a/client/request.go
+++ b/client/request.go
@@ -124,7 +124,8 @@
 	return Answer{}, false, nil
 }
 
-// shouldTryAnotherEntry reports whether a code is specific to the entry or the key, so that another attempt may succeed.
+// shouldTryAnotherEntry reports whether a code is specific to the entry or the key, so that another
+// attempt may succeed. It drops the key if that attempt needs a new one.
 func (rt *retrier) shouldTryAnotherEntry(code result.Code) bool {
 	switch code {
 	case result.CodeStopping, result.CodeNotReady:
--- a/internal/claims/lookup.go
+++ b/internal/claims/lookup.go
@@ -30,10 +30,10 @@
 
 // pendingLookup is a Lookup whose reply has not arrived.
 type pendingLookup struct {
-	to      fleet.Ref
-	key     claim.Key
-	resend  time.Time          // When to send it again.
-	outcome chan claim.Outcome // Has a buffer of one.
+	to       fleet.Ref
+	key      claim.Key
+	resendAt time.Time          // When to send it again.
+	outcome  chan claim.Outcome // Has a buffer of one.
 }
 
 // Lookup returns the outcome of a key from the records of its home and witness. It never starts
@@ -98,7 +98,7 @@
 		}
 		c.lookupID++
 		id = c.lookupID
-		c.lookups[id] = &pendingLookup{to: to, key: key, resend: now.Add(lookupResendInterval), outcome: outcome}
+		c.lookups[id] = &pendingLookup{to: to, key: key, resendAt: now.Add(lookupResendInterval), outcome: outcome}
 		c.sender.Send(to, wire.KindOutcomeLookup, Lookup{ID: id, Key: key})
 	})
 	if !posted {
@@ -137,10 +137,10 @@
 
 func (c *Claims) resendLookups(now time.Time) {
 	for id, pending := range c.lookups {
-		if now.Before(pending.resend) {
+		if now.Before(pending.resendAt) {
 			continue
 		}
-		pending.resend = now.Add(lookupResendInterval)
+		pending.resendAt = now.Add(lookupResendInterval)
 		c.sender.Send(pending.to, wire.KindOutcomeLookup, Lookup{ID: id, Key: pending.key})
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,7 +36,7 @@
 	minPollInterval = 15 * time.Second
 )
 
-// Options are the settings of a Duty.
+// Options configure a Manager.
 type Options struct {
 	Config          rollout.MachineConfig
 	Keys            storekeys.Keys
@@ -45,16 +45,16 @@
 	Loop            *control.Loop
 	Sender          control.Sender
 	Store           metastore.Store
-	Budget          *storecall.Budget // Nil for no bound.
+	Budget          *storecall.Budget // Unlimited when nil.
 	Members         *members.Manager
 	Log             *slog.Logger
 	// OnApply is called on the control goroutine after each new configuration becomes active.
 	OnApply func(now time.Time, c *rollout.Config)
 }
 
-// Duty is the control duty that keeps one instance's configuration up to date.
-type Duty struct {
-	o                Options
+// Manager is the control.Component that keeps one instance's configuration up to date.
+type Manager struct {
+	options          Options
 	ctx              context.Context
 	machine          *rollout.Machine
 	store            *storecall.Store
@@ -68,8 +68,8 @@
 	rejections       refusals.Tally
 }
 
-// New returns a Duty without a configuration. Its calls to the store end with ctx.
-func New(ctx context.Context, o Options) *Duty {
+// New returns a Manager without a configuration. Its calls to the store end with ctx.
+func New(ctx context.Context, o Options) *Manager {
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
@@ -77,8 +77,8 @@
 		o.WatchersPerZone = DefaultWatchersPerZone
 	}
 	o.Config.Fleet = o.Keys.Fleet
-	return &Duty{
-		o:       o,
+	return &Manager{
+		options: o,
 		ctx:     ctx,
 		machine: rollout.NewMachine(o.Config, o.Members.Snapshot().Self.Ref),
 		store:   storecall.New(o.Store, "configuration", o.Budget),
@@ -86,113 +86,113 @@
 }
 
 // Current returns the active configuration, or nil before the first. Any goroutine may call it.
-func (d *Duty) Current() *rollout.Config {
-	return d.current.Load()
+func (m *Manager) Current() *rollout.Config {
+	return m.current.Load()
 }
 
 // Watching reports whether this instance watches the store. It must run on the control goroutine.
-func (d *Duty) Watching() bool {
-	return d.cancelWatch != nil
+func (m *Manager) Watching() bool {
+	return m.cancelWatch != nil
 }
 
 // Counters returns the machine's counts. It must run on the control goroutine.
-func (d *Duty) Counters() rollout.Counters {
-	return d.machine.Counters()
+func (m *Manager) Counters() rollout.Counters {
+	return m.machine.Counters()
 }
 
-// Start starts the duty. It requests a configuration from the instances of candidates, the
-// platform's list, until this instance is on the roster. It must run on the control goroutine.
-func (d *Duty) Start(now time.Time, candidates []fleet.Instance) {
-	d.joinCandidates = candidates
-	d.applySnapshot(now)
-	d.run(now, d.machine.Tick(now))
+// Start begins to request a configuration from the instances of candidates, the platform's
+// list, until this instance is on the roster. It must run on the control goroutine.
+func (m *Manager) Start(now time.Time, candidates []fleet.Instance) {
+	m.joinCandidates = candidates
+	m.applySnapshot(now)
+	m.run(now, m.machine.Tick(now))
 }
 
 // Kinds implements control.Component.
-func (d *Duty) Kinds() []wire.Kind {
+func (m *Manager) Kinds() []wire.Kind {
 	return []wire.Kind{wire.KindRollout}
 }
 
 // Deliver implements control.Component. It returns wire.ErrMalformed.
-func (d *Duty) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
+func (m *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	var msg rollout.Message
 	if err := wire.DecodeBody(e, &msg); err != nil {
 		return err
 	}
-	d.run(now, d.machine.Deliver(now, from, msg))
+	m.run(now, m.machine.Deliver(now, from, msg))
 	return nil
 }
 
 // Tick implements control.Component.
-func (d *Duty) Tick(now time.Time) {
-	if d.o.Members.Snapshot() != d.snapshot {
-		d.applySnapshot(now)
+func (m *Manager) Tick(now time.Time) {
+	if m.options.Members.Snapshot() != m.snapshot {
+		m.applySnapshot(now)
 	}
-	if ahead, revision, ok := d.o.Members.NeighbourAhead(); ok {
-		d.run(now, d.machine.PeerRevision(now, ahead.Ref, revision))
+	if ahead, revision, ok := m.options.Members.NeighbourAhead(); ok {
+		m.run(now, m.machine.PeerRevision(now, ahead.Ref, revision))
 	}
-	d.refresh(now)
-	d.poll(now)
-	d.run(now, d.machine.Tick(now))
-	d.report()
+	m.refresh(now)
+	m.poll(now)
+	m.run(now, m.machine.Tick(now))
+	m.report()
 }
 
 // run executes the machine's effects.
-func (d *Duty) run(now time.Time, effects []rollout.Effect) {
+func (m *Manager) run(now time.Time, effects []rollout.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case rollout.Send:
-			d.o.Sender.Send(e.To, wire.KindRollout, e.Message)
+			m.options.Sender.Send(e.To, wire.KindRollout, e.Message)
 		case rollout.ReadHead:
-			go d.readHead()
+			go m.readHead()
 		case rollout.ReadShard:
-			go d.readShard(e.Digest)
+			go m.readShard(e.Digest)
 		case rollout.Apply:
-			d.apply(now, e.Config)
+			m.apply(now, e.Config)
 		}
 	}
 }
 
-func (d *Duty) apply(now time.Time, c *rollout.Config) {
-	d.current.Store(c)
-	d.o.Members.SetRevision(c.Revision)
-	d.o.Log.Info("configuration is now active", "revision", uint64(c.Revision), "services", len(c.Services), "accounts", len(c.Accounts))
-	if d.o.OnApply != nil {
-		d.o.OnApply(now, c)
+func (m *Manager) apply(now time.Time, c *rollout.Config) {
+	m.current.Store(c)
+	m.options.Members.SetRevision(c.Revision)
+	m.options.Log.Info("configuration is now active", "revision", uint64(c.Revision), "services", len(c.Services), "accounts", len(c.Accounts))
+	if m.options.OnApply != nil {
+		m.options.OnApply(now, c)
 	}
 }
 
 // refresh requests the configuration from a peer while this instance is not on the roster,
 // because instances off the roster receive no heartbeats that carry the revision.
-func (d *Duty) refresh(now time.Time) {
-	if d.snapshot.Joined || now.Sub(d.refreshedAt) < refreshInterval {
+func (m *Manager) refresh(now time.Time) {
+	if m.snapshot.Joined || now.Sub(m.refreshedAt) < refreshInterval {
 		return
 	}
-	d.refreshedAt = now
-	d.run(now, d.machine.Refresh(now))
+	m.refreshedAt = now
+	m.run(now, m.machine.Refresh(now))
 }
 
 // poll reads the head at long, jittered intervals, in case no watcher can reach the store.
-func (d *Duty) poll(now time.Time) {
-	if now.Before(d.pollAt) {
+func (m *Manager) poll(now time.Time) {
+	if now.Before(m.pollAt) {
 		return
 	}
-	interval := max(time.Duration(len(d.snapshot.Members))*pollPerInstance, minPollInterval)
-	first := d.pollAt.IsZero()
-	d.pollAt = now.Add(interval/2 + time.Duration(d.o.Random.Int64N(int64(interval))))
+	interval := max(time.Duration(len(m.snapshot.Members))*pollPerInstance, minPollInterval)
+	first := m.pollAt.IsZero()
+	m.pollAt = now.Add(interval/2 + time.Duration(m.options.Random.Int64N(int64(interval))))
 	if !first {
-		go d.readHead()
+		go m.readHead()
 	}
 }
 
 // report counts and logs what the machine has rejected since the last call.
-func (d *Duty) report() {
-	c := d.machine.Counters()
-	if c == d.reportedCounters {
+func (m *Manager) report() {
+	c := m.machine.Counters()
+	if c == m.reportedCounters {
 		return
 	}
-	d.reportedCounters = c
-	changed := d.rejections.Report(map[result.Code]uint64{
+	m.reportedCounters = c
+	changed := m.rejections.Report(map[result.Code]uint64{
 		result.CodePeerOtherFleet: c.OtherFleet,
 		result.CodePeerMalformed:  c.Malformed + c.Unsolicited,
 		result.CodeConfigDigest:   c.WrongDigest,
@@ -200,7 +200,7 @@
 		result.CodeConfigFault:    c.StaleStoreReads,
 	})
 	if changed {
-		d.o.Log.Warn("configuration update rejected; the last valid configuration stays active",
+		m.options.Log.Warn("configuration update rejected; the last valid configuration stays active",
 			"other_fleet", c.OtherFleet, "malformed", c.Malformed, "wrong_digest", c.WrongDigest,
 			"too_large", c.TooLarge, "store_behind", c.StaleStoreReads)
 	}
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -27,12 +27,12 @@
 // pollInterval is the time between two checks of a condition.
 const pollInterval = 2 * time.Millisecond
 
-// instance is a test instance: a control loop with the membership and configuration duties.
+// instance is a test instance: a control loop with the membership and configuration components.
 type instance struct {
 	ref     fleet.Ref
 	loop    *control.Loop
 	members *members.Manager
-	config  *config.Duty
+	config  *config.Manager
 	stop    context.CancelFunc
 	net     *network
 	mu      sync.Mutex
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -10,28 +10,28 @@
 
 // applySnapshot updates the machine's peers from the latest membership snapshot, and starts or
 // stops the watch according to whether this instance is a watcher.
-func (d *Duty) applySnapshot(now time.Time) {
-	s := d.o.Members.Snapshot()
-	d.snapshot = s
-	d.machine.SetSelf(s.Self.Ref)
-	watcher := d.isWatcher(s)
-	d.machine.SetPeers(d.peers(s), watcher)
+func (m *Manager) applySnapshot(now time.Time) {
+	s := m.options.Members.Snapshot()
+	m.snapshot = s
+	m.machine.SetSelf(s.Self.Ref)
+	watcher := m.isWatcher(s)
+	m.machine.SetPeers(m.peers(s), watcher)
 	switch {
-	case watcher && d.cancelWatch == nil:
-		ctx, cancel := context.WithCancel(d.ctx)
-		d.cancelWatch = cancel
-		go d.watchHead(ctx)
-	case !watcher && d.cancelWatch != nil:
-		d.cancelWatch()
-		d.cancelWatch = nil
+	case watcher && m.cancelWatch == nil:
+		ctx, cancel := context.WithCancel(m.ctx)
+		m.cancelWatch = cancel
+		go m.watchHead(ctx)
+	case !watcher && m.cancelWatch != nil:
+		m.cancelWatch()
+		m.cancelWatch = nil
 	}
 }
 
-func (d *Duty) isWatcher(s *members.Snapshot) bool {
+func (m *Manager) isWatcher(s *members.Snapshot) bool {
 	if !s.Joined {
 		return false
 	}
-	for _, i := range s.Map.Watchers(s.Self.Zone, d.o.WatchersPerZone) {
+	for _, i := range s.Map.Watchers(s.Self.Zone, m.options.WatchersPerZone) {
 		if i.Ref == s.Self.Ref {
 			return true
 		}
@@ -41,13 +41,13 @@
 
 // peers returns the neighbours, or joinPeers random instances spread over the zones if this
 // instance is not on the roster.
-func (d *Duty) peers(s *members.Snapshot) []fleet.Ref {
+func (m *Manager) peers(s *members.Snapshot) []fleet.Ref {
 	if s.Joined {
-		return refsOf(d.o.Members.Neighbours())
+		return refsOf(m.options.Members.Neighbours())
 	}
 	candidates := append([]fleet.Instance(nil), s.Map.Instances()...)
-	candidates = append(candidates, d.joinCandidates...)
-	d.o.Random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	candidates = append(candidates, m.joinCandidates...)
+	m.options.Random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	return refsOf(selectAcrossZones(candidates, s.Self, joinPeers))
 }
 
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -21,20 +21,20 @@
 	maxBackoff = 15 * time.Second
 )
 
-func (d *Duty) readHead() {
-	ctx, cancel := context.WithTimeout(d.ctx, callTimeout)
+func (m *Manager) readHead() {
+	ctx, cancel := context.WithTimeout(m.ctx, callTimeout)
 	defer cancel()
-	value, err := d.store.Get(ctx, d.o.Keys.Head())
-	d.postHead(value, err)
+	value, err := m.store.Get(ctx, m.options.Keys.Head())
+	m.postHead(value, err)
 }
 
 // postHead passes the result of reading the head to the machine. A missing key gives a zero head.
-func (d *Duty) postHead(value metastore.Value, err error) {
+func (m *Manager) postHead(value metastore.Value, err error) {
 	head, err := decodeHead(value, err)
 	if errors.Is(err, rollout.ErrMalformed) {
-		d.o.Log.Error("configuration head in the store is malformed; the last valid configuration stays active", "error", err.Error())
+		m.options.Log.Error("configuration head in the store is malformed; the last valid configuration stays active", "error", err.Error())
 	}
-	d.o.Loop.Post(func(now time.Time) { d.run(now, d.machine.HeadRead(now, head, err)) })
+	m.options.Loop.Post(func(now time.Time) { m.run(now, m.machine.HeadRead(now, head, err)) })
 }
 
 func decodeHead(value metastore.Value, err error) (rollout.Head, error) {
@@ -47,24 +47,24 @@
 	return rollout.DecodeHead(value.Data)
 }
 
-func (d *Duty) readShard(digest rollout.Digest) {
-	ctx, cancel := context.WithTimeout(d.ctx, callTimeout)
+func (m *Manager) readShard(digest rollout.Digest) {
+	ctx, cancel := context.WithTimeout(m.ctx, callTimeout)
 	defer cancel()
-	value, err := d.store.Get(ctx, d.o.Keys.Shard(digest))
-	d.o.Loop.Post(func(now time.Time) { d.run(now, d.machine.ShardRead(now, digest, value.Data, err)) })
+	value, err := m.store.Get(ctx, m.options.Keys.Shard(digest))
+	m.options.Loop.Post(func(now time.Time) { m.run(now, m.machine.ShardRead(now, digest, value.Data, err)) })
 }
 
 // watchHead passes the head to the machine each time that it changes, until ctx ends.
-func (d *Duty) watchHead(ctx context.Context) {
+func (m *Manager) watchHead(ctx context.Context) {
 	var after metastore.Version
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		value, err := d.watchOnce(ctx, after)
+		value, err := m.watchOnce(ctx, after)
 		switch {
 		case err == nil && value.Version != after:
 			after = value.Version
 			backoff = minBackoff
-			d.postHead(value, nil)
+			m.postHead(value, nil)
 		case err == nil || errors.Is(err, context.DeadlineExceeded):
 			backoff = minBackoff
 			pause(ctx, jitter(minBackoff))
@@ -75,10 +75,10 @@
 	}
 }
 
-func (d *Duty) watchOnce(ctx context.Context, after metastore.Version) (metastore.Value, error) {
+func (m *Manager) watchOnce(ctx context.Context, after metastore.Version) (metastore.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	return d.store.Watch(ctx, d.o.Keys.Head(), after)
+	return m.store.Watch(ctx, m.options.Keys.Head(), after)
 }
 
 // jitter returns a random duration between d/2 and d.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -25,7 +25,7 @@
 }
 
 // Sender sends messages to other instances. A message may be lost, duplicated or delayed.
-// Send never blocks: if the queue is full, its oldest message is dropped.
+// Send never blocks: if the queue is full, a message is dropped.
 type Sender interface {
 	Send(to fleet.Ref, kind wire.Kind, body any)
 }
--- a/internal/endpoints/service.go
+++ b/internal/endpoints/service.go
@@ -24,7 +24,7 @@
 
 	carriers          []fleet.Instance
 	former            []formerSet
-	carrying          bool
+	carrying          bool              // This instance is in the current set of carriers.
 	carrier           *health.Carrier   // Nil unless this instance is in the current or a former set of carriers.
 	evaluator         *health.Evaluator // Nil unless evaluating.
 	evaluating        bool
--- a/internal/endpoints/targets.go
+++ b/internal/endpoints/targets.go
@@ -11,8 +11,8 @@
 	"github.com/damaskcove/damaskcove/coord/routing"
 )
 
-// slotOvercommit is the ratio of the carriers' summed limits on an endpoint to its slots. The
-// upstream rejects a request beyond its slots before it starts to run.
+// slotOvercommit is the ratio of the sum of the carriers' limits on an endpoint to its slots. It
+// may exceed 1 because an upstream rejects a request beyond its slots before it starts to run.
 const slotOvercommit = 1.25
 
 // publish calls Options.Publish if a service's targets have changed.
--- a/internal/listing/manager.go
+++ b/internal/listing/manager.go
@@ -22,7 +22,7 @@
 	RequestInterval = time.Second     // Minimum time between requests for the full list.
 )
 
-// Options configures a Manager.
+// Options configure a Manager.
 type Options struct {
 	List     metastore.List
 	Sender   control.Sender
@@ -47,7 +47,7 @@
 // Manager keeps the current list. Its methods must be called on the control goroutine, except
 // Snapshot and Stats, which are safe for concurrent use.
 type Manager struct {
-	o              Options
+	options        Options
 	snapshot       atomic.Pointer[metastore.Listing]
 	stats          atomic.Pointer[Stats]
 	counts         Stats
@@ -69,7 +69,7 @@
 	if o.OnChange == nil {
 		o.OnChange = func(time.Time, *metastore.Listing) {}
 	}
-	m := &Manager{o: o}
+	m := &Manager{options: o}
 	m.stats.Store(&Stats{})
 	return m
 }
@@ -97,12 +97,12 @@
 		m.watch(now)
 		return
 	}
-	m.readIfSilent(now)
+	m.readIfOverdue(now)
 }
 
-// readIfSilent reads the list if no message has arrived in time, and every ReadInterval until
+// readIfOverdue reads the list if no message has arrived in time, and every ReadInterval until
 // the first list.
-func (m *Manager) readIfSilent(now time.Time) {
+func (m *Manager) readIfOverdue(now time.Time) {
 	firstReadDue := m.snapshot.Load() == nil && !now.Before(m.nextRead)
 	if !firstReadDue && now.Before(m.fallbackReadAt) {
 		return
@@ -114,7 +114,7 @@
 
 // updateRole checks whether the instance is a watcher and resets the timers when this changes.
 func (m *Manager) updateRole(now time.Time) {
-	watching := m.o.Watcher()
+	watching := m.options.Watcher()
 	if watching == m.watching {
 		return
 	}
@@ -137,12 +137,12 @@
 }
 
 func (m *Manager) jittered(interval time.Duration) time.Duration {
-	factor := 1 + ReadJitter*(2*m.o.Random.Float64()-1)
+	factor := 1 + ReadJitter*(2*m.options.Random.Float64()-1)
 	return time.Duration(float64(interval) * factor)
 }
 
 func (m *Manager) jitteredWatcherTimeout() time.Duration {
-	return time.Duration(float64(WatcherTimeout) * (1 + m.o.Random.Float64()/2))
+	return time.Duration(float64(WatcherTimeout) * (1 + m.options.Random.Float64()/2))
 }
 
 // read starts reading the list in the background unless a read is running.
@@ -152,11 +152,11 @@
 	}
 	m.reading = true
 	m.counts.Reads++
-	m.o.Go(func() {
+	m.options.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), ReadTimeout)
 		defer cancel()
-		listing, err := m.o.List.Read(ctx)
-		m.o.Post(func(now time.Time) { m.readDone(now, listing, err) })
+		listing, err := m.options.List.Read(ctx)
+		m.options.Post(func(now time.Time) { m.readDone(now, listing, err) })
 	})
 }
 
@@ -197,20 +197,20 @@
 func (m *Manager) setSnapshot(now time.Time, l *metastore.Listing) {
 	m.snapshot.Store(l)
 	m.counts.Applied++
-	m.o.OnChange(now, l)
+	m.options.OnChange(now, l)
 }
 
 // push sends a message to every member that this watcher pushes to.
 func (m *Manager) push(now time.Time, msg Message) {
 	m.nextCurrent = now.Add(m.jittered(CurrentInterval))
-	for _, peer := range m.o.Peers() {
+	for _, peer := range m.options.Peers() {
 		m.send(peer, msg)
 	}
 }
 
 func (m *Manager) send(to fleet.Ref, msg Message) {
 	m.counts.Pushed++
-	m.o.Sender.Send(to, wire.KindListing, msg)
+	m.options.Sender.Send(to, wire.KindListing, msg)
 }
 
 // Deliver implements control.Component.
--- a/internal/measure/health/policy.go
+++ b/internal/measure/health/policy.go
@@ -11,13 +11,13 @@
 type policy interface {
 	// observe records the result of one attempt of a carrier.
 	observe(now time.Time, carrier, endpoint int, failed bool, latency time.Duration, trial bool)
-	// tick is called for each carrier every 50 ms.
+	// tick is called for each carrier every control.TickInterval.
 	tick(now time.Time, carrier int)
 	// deliver handles a message that outbox returned earlier.
 	deliver(now time.Time, m message)
 	// state returns the state of an endpoint at a carrier.
 	state(now time.Time, carrier, endpoint int) health.State
-	// ejections returns how often endpoints were sends out of service, over all carriers.
+	// ejections returns how often endpoints were taken out of service, over all carriers.
 	ejections() int
 	// outbox returns the messages to send since the last call.
 	outbox() []message
--- a/internal/measure/routing/run.go
+++ b/internal/measure/routing/run.go
@@ -50,7 +50,7 @@
 	maxQueue int     // Maximum queue length at an endpoint.
 }
 
-// figures are the results of one run.
+// results holds the figures of one run.
 type results struct {
 	goodput float64 // Requests answered in time, as a fraction of the capacity of all slots.
 	p50     time.Duration
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -59,14 +59,14 @@
 
 // Manager runs the membership of one instance.
 type Manager struct {
-	options  Options
-	ctx      context.Context
-	machine  *membership.Machine
-	store    *storecall.Store
-	snapshot atomic.Pointer[Snapshot]
-	hints    atomic.Pointer[map[fleet.Ref]fleet.Instance] // From the platform's list and from join requests.
-	reported membership.Counters                          // At the last report.
-	refused  refusals.Tally
+	options          Options
+	ctx              context.Context
+	machine          *membership.Machine
+	store            *storecall.Store
+	snapshot         atomic.Pointer[Snapshot]
+	hints            atomic.Pointer[map[fleet.Ref]fleet.Instance] // From the platform's list and from join requests.
+	reportedCounters membership.Counters                          // At the last report.
+	rejections       refusals.Tally
 }
 
 // New returns the Manager of an instance that has not begun to join. ctx bounds its store calls.
@@ -171,11 +171,11 @@
 // report adds the messages and writes rejected since the last call to the process counters.
 func (m *Manager) report() {
 	c := m.machine.Counters()
-	if c == m.reported {
+	if c == m.reportedCounters {
 		return
 	}
-	m.reported = c
-	m.refused.Report(map[result.Code]uint64{
+	m.reportedCounters = c
+	m.rejections.Report(map[result.Code]uint64{
 		result.CodePeerOtherFleet:  c.OtherFleet,
 		result.CodePeerMalformed:   c.Malformed,
 		result.CodePeerIncarnation: c.OldIncarnation + c.Unknown,
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -27,7 +27,7 @@
 }
 
 // placementView is the placement for the endpoints manager. Carriers follow from the roster's
-// generation alone; the evaluator is chosen among the instances considered alive here.
+// generation alone; the evaluator is chosen among the instances that this one considers alive.
 type placementView struct {
 	roster       *placement.Map
 	alive        *placement.Map
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	ErrSuperseded = errors.New("another process runs with the instance's ID")
 )
 
-// Options configures a Node.
+// Options configure a Node.
 type Options struct {
 	Settings    *settings.Settings
 	Incarnation fleet.Incarnation // Higher than any previous incarnation of the instance.
@@ -65,14 +65,14 @@
 	calls    *relay.Calls
 	loop     *control.Loop
 
-	members    *members.Manager
-	config     *config.Duty
-	listing    *listing.Manager
-	endpoints  *endpoints.Manager
-	claims     *claims.Claims
-	dispatcher *dispatch.Dispatcher
-	budget     *storecall.Budget
-	reach      *storecall.Monitor
+	members      *members.Manager
+	config       *config.Manager
+	listing      *listing.Manager
+	endpoints    *endpoints.Manager
+	claims       *claims.Claims
+	dispatcher   *dispatch.Dispatcher
+	budget       *storecall.Budget
+	storeMonitor *storecall.Monitor
 
 	router    atomic.Pointer[entry.Router]
 	appliedAt atomic.Pointer[time.Time]
@@ -86,9 +86,9 @@
 // New listens on the instance's addresses and creates its components. ctx bounds the
 // instance's calls to the platform.
 func New(ctx context.Context, o Options) (*Node, error) {
-	reach := storecall.NewMonitor(o.Store, time.Now)
-	o.Store = reach
-	n := &Node{opts: o, reach: reach, log: o.Log, started: time.Now(), fatal: make(chan error, 1)}
+	storeMonitor := storecall.NewMonitor(o.Store, time.Now)
+	o.Store = storeMonitor
+	n := &Node{opts: o, storeMonitor: storeMonitor, log: o.Log, started: time.Now(), fatal: make(chan error, 1)}
 	n.rejected.Init()
 	if err := n.listen(); err != nil {
 		n.close()
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -99,7 +99,7 @@
 // stop performs the planned stop: discovery stops returning the instance, it serves until
 // callers' discovery answers have expired, hands its keys over, finishes the requests in
 // flight and leaves the fleet. With a cause, such as removal from the roster, it skips the
-// wait and the leave, since discovery has not returned the instance for long.
+// wait and the leave, since discovery stopped returning the instance long before.
 func (n *Node) stop(cause error) {
 	n.stopping.Store(true)
 	n.log.Info("planned stop started", "incarnation", n.self.Ref.Incarnation, "in_flight", n.entry.InFlight())
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -87,7 +87,7 @@
 // storeStatus returns the store's reachability and the counts of store calls.
 func (n *Node) storeStatus() api.Store {
 	s := api.Store{Calls: make(map[string]uint64)}
-	s.Reachable, s.LastOK = n.reach.LastCall()
+	s.Reachable, s.LastOK = n.storeMonitor.LastCall()
 	storecall.Calls.Do(func(kv expvar.KeyValue) {
 		if v, ok := kv.Value.(*expvar.Int); ok {
 			s.Calls[kv.Key] = uint64(v.Value())
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -106,7 +106,7 @@
 type Store struct {
 	Reachable bool              `json:"reachable"` // The last call got a reply.
 	LastOK    time.Time         `json:"last_ok"`
-	Calls     map[string]uint64 `json:"calls"` // By duty and operation, such as "roster.get".
+	Calls     map[string]uint64 `json:"calls"` // As counted by storecall.Calls, such as "membership" or "listing.list".
 }
 
 // Explanation is the response of PathExplain: where a request would go and why.
@@ -128,7 +128,7 @@
 	Endpoints   []EndpointView   `json:"endpoints"`
 }
 
-// StateName returns the value of EndpointView.State for a state of the health duty.
+// StateName returns the value of EndpointView.State for a state of package health.
 func StateName(s health.State) string {
 	switch s {
 	case health.StateInService:
--- a/internal/operator/query/wait.go
+++ b/internal/operator/query/wait.go
@@ -64,8 +64,8 @@
 func (e *BehindError) Unwrap() error { return ErrBehind }
 
 // WaitForRevision waits until the active revision of every live instance is at least revision, or
-// ctx ends. It gets the live instances from the first clients, then polls each live instance
-// itself. It returns the number of live instances. The error is a *BehindError or ErrNotAuthorized.
+// ctx ends. It asks the instances of the clients in first which instances are live, then polls each
+// live instance itself. It returns the number of live instances. The error is a *BehindError or ErrNotAuthorized.
 func WaitForRevision(ctx context.Context, first []*Client, revision fleet.Revision) (int, error) {
 	w := waiter{first: first, revision: revision, reported: make(map[fleet.Ref]fleet.Revision)}
 	ticker := time.NewTicker(pollInterval)
@@ -95,8 +95,8 @@
 	reported map[fleet.Ref]fleet.Revision // Highest revision reported by each instance.
 }
 
-// liveInstances returns the instances that at least one of the first clients reports as alive or
-// suspect, and the first instances themselves unless they are stopping.
+// liveInstances returns the instances that at least one instance of the clients in first reports as
+// alive or suspect, and those reporting instances themselves unless they are stopping.
 func (w *waiter) liveInstances(ctx context.Context) ([]fleet.Instance, error) {
 	type answer struct {
 		status api.Status
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// newest returns the latest modification time of the files, or zero when one cannot be read.
+// latestModTime returns the latest modification time of the files, or zero when one cannot be read.
 func (c *credentials) latestModTime() time.Time {
 	var latest time.Time
 	for _, name := range []string{c.files.Certificate, c.files.Key, c.files.Authority} {
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -20,7 +20,7 @@
 
 // Links are the peer links.
 type Links interface {
-	// Offer queues a message for an instance. It returns false if the message was not queued.
+	// TrySend queues a message for an instance. It returns false if the message was not queued.
 	TrySend(to fleet.Ref, kind wire.Kind, body any) bool
 	// Unreachable reports whether there is no working link to an instance.
 	Unreachable(to fleet.Ref) bool
@@ -57,15 +57,15 @@
 		return exchange.Answer{}, fmt.Errorf("%w: %s", ErrUnreachable, to)
 	}
 	id := c.nextID.Add(1)
-	w := pendingCall{to: to, reply: make(chan exchange.Answer, 1)}
-	c.add(id, w)
+	p := pendingCall{to: to, reply: make(chan exchange.Answer, 1)}
+	c.add(id, p)
 	defer c.remove(id)
 	r.Remaining = time.Until(r.Deadline)
 	if !c.links.TrySend(to, wire.KindRelayRequest, Call{ID: id, Role: role, Request: r}) {
 		return exchange.Answer{}, fmt.Errorf("%w: %s", ErrUnreachable, to)
 	}
 	select {
-	case a := <-w.reply:
+	case a := <-p.reply:
 		return a, nil
 	case <-ctx.Done():
 		return exchange.Answer{}, fmt.Errorf("%w: %s: %w", ErrNoReply, to, ctx.Err())
@@ -77,10 +77,10 @@
 	return !c.links.Unreachable(to)
 }
 
-func (c *Calls) add(id uint64, w pendingCall) {
+func (c *Calls) add(id uint64, p pendingCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending[id] = w
+	c.pending[id] = p
 }
 
 func (c *Calls) remove(id uint64) {
@@ -111,12 +111,12 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w, ok := c.pending[reply.ID]
-	if !ok || w.to != from {
+	p, ok := c.pending[reply.ID]
+	if !ok || p.to != from {
 		return nil
 	}
 	delete(c.pending, reply.ID)
-	w.reply <- reply.Answer
+	p.reply <- reply.Answer
 	return nil
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -12,7 +12,8 @@
 
 // Errors of Caller.Call.
 var (
-	// ErrUnreachable means that there is no working link to the instance and the request was not sent.
+	// ErrUnreachable means that the request was not sent, because there is no working link to the
+	// instance or the request could not be queued.
 	ErrUnreachable = errors.New("instance unreachable")
 	// ErrNoReply means that the request was sent and no reply arrived in time.
 	ErrNoReply = errors.New("no reply from instance")
--- a/internal/storecall/storecall.go
+++ b/internal/storecall/storecall.go
@@ -13,8 +13,9 @@
 	"github.com/damaskcove/damaskcove/internal/metastore"
 )
 
-// Calls counts the calls to the store by component, and under "refused" those that were over the budget.
-// It is published as "store_calls".
+// Calls counts the calls to the store by component, such as "membership", and under "refused" those
+// that were over the budget. It also has the reads of the platform's list, which have no budget, under
+// "listing." and the operation. It is published as "store_calls".
 var Calls = expvar.NewMap("store_calls")
 
 // Parameters of a Budget.
--- a/internal/upstream/admin.go
+++ b/internal/upstream/admin.go
@@ -24,7 +24,7 @@
 const (
 	ParamEndpoint     = "endpoint"
 	ParamID           = "id"
-	ParamFrom         = "from"  // IP number of a caller.
+	ParamFrom         = "from"  // IP address of a caller.
 	ParamConnectivity = "reach" // A name that ParseConnectivity accepts.
 )
 
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -93,7 +93,7 @@
 	_ = e.server.Serve(e.listener)
 }
 
-// Addr returns the endpoint's IP number and port.
+// Addr returns the endpoint's IP address and port.
 func (e *Endpoint) Addr() fleet.Endpoint {
 	return e.addr
 }
--- a/internal/upstream/record.go
+++ b/internal/upstream/record.go
@@ -38,7 +38,8 @@
 	return &Recorder{recordIdempotent: recordIdempotent, records: make(map[string]*Record)}
 }
 
-// started records a start and returns the number of starts of the request ID so far.
+// started records a start and returns the number of starts of the request ID so far. It returns 1 for
+// a start that is not recorded: one without a request ID, or an idempotent one unless recordIdempotent.
 func (r *Recorder) started(id, account string, nonIdempotent bool, s Start) int {
 	if !nonIdempotent && !r.recordIdempotent {
 		return 1
--- a/internal/upstream/spec.go
+++ b/internal/upstream/spec.go
@@ -39,7 +39,7 @@
 // Spec configures an endpoint. Fields that are zero get their default, if there is one.
 type Spec struct {
 	Service            fleet.Service
-	Addr               string // IP number and port; port 0 picks a free one; empty for 127.0.0.1:0.
+	Addr               string // IP address and port; port 0 picks a free one; empty for 127.0.0.1:0.
 	Zone               fleet.Zone
 	Slots              int           // Requests that run concurrently.
 	Queue              int           // Requests that may wait for a slot; further ones are shed. Negative for none.
--- a/internal/upstream/work.go
+++ b/internal/upstream/work.go
@@ -26,7 +26,7 @@
 	Method      string         `json:"method"`
 	URI         string         `json:"uri"`
 	BodyHash    uint64         `json:"body_hash"` // HashBody of the request's body.
-	StartNumber int            `json:"run"`       // Number of this start among those of the request ID on this host, from 1.
+	StartNumber int            `json:"run"`       // Number of this start among those of the request ID on this host, from 1; always 1 if they are not recorded.
 	Padding     string         `json:"padding,omitempty"`
 }
 
