--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,7 +25,7 @@
 const (
 	// DefaultWatchersPerZone is the number of instances of each zone that watch the store.
 	DefaultWatchersPerZone = 2
-	// joinPeers is the number of instances that an instance without neighbours requests the configuration from.
+	// joinPeers is the number of instances that an instance that is not on the roster chooses as its peers.
 	joinPeers = 6
 	// refreshInterval is the time between two requests by an instance that is not on the roster.
 	refreshInterval = 2 * time.Second
@@ -113,7 +113,7 @@
 	return []wire.Kind{wire.KindRollout}
 }
 
-// Deliver implements control.Component. It returns wire.ErrMalformed.
+// Deliver implements control.Component. Its errors wrap wire.ErrMalformed.
 func (m *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	var msg rollout.Message
 	if err := wire.DecodeBody(e, &msg); err != nil {
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -91,7 +91,7 @@
 					s.deliver(p)
 					s.deliver(p)
 				}
-				s.settle()
+				s.deliverAll()
 			},
 			"": func(*rapid.T) { check() },
 		})
--- a/internal/listing/simulation_test.go
+++ b/internal/listing/simulation_test.go
@@ -109,10 +109,10 @@
 	for _, m := range s.managers {
 		m.Tick(s.now)
 	}
-	s.settle()
+	s.deliverAll()
 }
 
-func (s *simulation) settle() {
+func (s *simulation) deliverAll() {
 	for len(s.queue)+len(s.posted) > 0 {
 		posted, queue := s.posted, s.queue
 		s.posted, s.queue = nil, nil
--- a/internal/measure/health/cost.go
+++ b/internal/measure/health/cost.go
@@ -97,7 +97,7 @@
 	return result, nil
 }
 
-// observeHealthy passes to a carrier its share of the healthy requests of 50 ms.
+// observeHealthy passes to a carrier its share of the healthy requests that arrive in 50 ms.
 func observeHealthy(ep *evaluatorPolicy, random *rand.Rand, now time.Time, carrier int, w workload) {
 	mean := designRate * 0.05 / float64(len(ep.instances))
 	for e := range w.endpoints {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -149,7 +149,7 @@
 	return []wire.Kind{wire.KindMembership}
 }
 
-// Deliver implements control.Component. It returns wire.ErrMalformed.
+// Deliver implements control.Component. Its errors wrap wire.ErrMalformed.
 func (m *Manager) Deliver(now time.Time, from fleet.Ref, e wire.Envelope) error {
 	var msg membership.Message
 	if err := wire.DecodeBody(e, &msg); err != nil {
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -41,8 +41,8 @@
 	return n.relayRequest(ctx, r, carriers)
 }
 
-// carriers returns the carriers of a service in order of rank: the instances accepting
-// requests that send this service's requests to upstreams.
+// carriers returns the carriers of a service in order of rank: the instances that send its
+// requests to upstreams. Instances that accept no requests are left out.
 func (n *Node) carriers(s fleet.Service) []fleet.Instance {
 	m := n.members.Snapshot().Map
 	if m == nil {
@@ -146,8 +146,8 @@
 }
 
 // excludeFailing returns the map that discovery uses. If the link from this instance to one
-// that the answer would name is failing, all instances with failing links are left out: the
-// roster drops a dead instance seconds after its peers notice the failure.
+// that the answer would name is failing, it leaves out all instances with failing links, because
+// the roster drops a dead instance only seconds after its peers notice the failure.
 func (n *Node) excludeFailing(m *placement.Map, service fleet.Service, account fleet.Account, zone fleet.Zone) *placement.Map {
 	f := n.opts.Settings.Fleet
 	named := m.Entries(service, account, zone, f.CarriersPerService, f.EntriesPerAnswer)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -32,17 +32,17 @@
 	byID map[fleet.Ref]fleet.Instance
 }
 
-func (b *registry) resolve(r fleet.Ref) (fleet.Instance, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	in, ok := b.byID[r]
+func (r *registry) resolve(ref fleet.Ref) (fleet.Instance, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	in, ok := r.byID[ref]
 	return in, ok
 }
 
-func (b *registry) add(in fleet.Instance) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.byID[in.Ref] = in
+func (r *registry) add(in fleet.Instance) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.byID[in.Ref] = in
 }
 
 // startLinks runs the links of an instance until the test ends. The channel receives the
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -87,7 +87,8 @@
 	o.Token = strings.TrimSpace(string(data))
 }
 
-// provision checks the certificates. Peer links reload the files when they change.
+// provision resolves the paths and checks the certificates. Peer links reload the files when they
+// change.
 func (p *Peer) provision(c *tomlfile.Collector, dir string) {
 	p.CertFile = resolve(dir, p.CertFile)
 	p.KeyFile = resolve(dir, p.KeyFile)
--- a/internal/storecall/storecall.go
+++ b/internal/storecall/storecall.go
@@ -14,8 +14,8 @@
 )
 
 // Calls counts the calls to the store by component, such as "membership", and under "refused" those
-// that were over the budget. It also has the reads of the platform's list, which have no budget, under
-// "listing." and the operation. It is published as "store_calls".
+// that were over the budget. It also has the reads of the platform's list by the listing component,
+// which have no budget, under "listing." and the operation. It is published as "store_calls".
 var Calls = expvar.NewMap("store_calls")
 
 // Parameters of a Budget.
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -41,7 +41,7 @@
 	return h.samples[0].inFlight
 }
 
-// trim removes the samples that were replaced by newer ones before t.
+// trim removes the samples that a newer one had replaced at t.
 func (h *loadHistory) trim(t time.Time) {
 	n := 0
 	for n+1 < len(h.samples) && !h.samples[n+1].at.After(t) {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -266,9 +266,9 @@
 	if _, err := send(context.Background(), e[0], http.MethodPost, "/orders", "closed"); err == nil {
 		t.Fatal("answered although connections are closed from this address")
 	}
-	for word, want := range map[string]Connectivity{"open": ConnectivityNormal, "close": ConnectivityClosed, "none": ConnectivityBlackhole, "mute": ConnectivityNoReplies} {
-		if got, err := ParseConnectivity(word); err != nil || got != want {
-			t.Errorf("%s: %v %v", word, got, err)
+	for name, want := range map[string]Connectivity{"open": ConnectivityNormal, "close": ConnectivityClosed, "none": ConnectivityBlackhole, "mute": ConnectivityNoReplies} {
+		if got, err := ParseConnectivity(name); err != nil || got != want {
+			t.Errorf("%s: %v %v", name, got, err)
 		}
 	}
 	if _, err := ParseConnectivity("half"); err == nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -68,7 +68,7 @@
 	return data, nil
 }
 
-// Decode returns the envelope in data. It returns ErrMalformed or ErrVersion.
+// Decode returns the envelope in data. Its errors wrap ErrMalformed or ErrVersion.
 func Decode(data []byte) (Envelope, error) {
 	var e Envelope
 	if err := cbor.Unmarshal(data, &e); err != nil {
@@ -88,7 +88,7 @@
 	return e, nil
 }
 
-// DecodeBody decodes the body of an envelope into body, a pointer. It returns ErrMalformed.
+// DecodeBody decodes the body of an envelope into body, a pointer. Its errors wrap ErrMalformed.
 func DecodeBody(e Envelope, body any) error {
 	if err := cbor.Unmarshal(e.Body, body); err != nil {
 		return fmt.Errorf("%w: body of kind %d: %w", ErrMalformed, e.Kind, err)
