--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -71,8 +71,8 @@
 		return false
 	}
 	limits := c.server.handler.Limits()
-	arrived := time.Now()
-	_ = c.nc.SetReadDeadline(arrived.Add(limits.HeadTimeout))
+	firstByteAt := time.Now()
+	_ = c.nc.SetReadDeadline(firstByteAt.Add(limits.HeadTimeout))
 	head, err := peekHead(c.br, limits.HeadBytes)
 	if errors.Is(err, bufio.ErrBufferFull) && c.growBuffer(limits.HeadBytes) {
 		head, err = peekHead(c.br, limits.HeadBytes)
@@ -161,7 +161,8 @@
 	return true
 }
 
-// rejectHead answers a request whose head could not be read completely.
+// rejectHead answers a request whose head could not be read completely, unless the caller has
+// disconnected.
 func (c *conn) rejectHead(err error) {
 	switch {
 	case errors.Is(err, errHeadTooLarge), errors.Is(err, bufio.ErrBufferFull):
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -25,7 +25,7 @@
 // Request is a caller's request.
 type Request struct {
 	HTTP    *fasthttp.Request // Valid until the handler returns.
-	Arrived time.Time
+	Arrived time.Time         // When the request was read completely.
 }
 
 // Handler answers requests. It must not retain a request or an answer after it returns.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -49,9 +49,9 @@
 // request may be retried and hedged. Any other is sent again only while no earlier attempt
 // can have run. Execute returns soon after ctx ends or the request's deadline passes.
 func (d *Dispatcher) Execute(ctx context.Context, r exchange.Request) exchange.Answer {
-	s, refusal := d.admit(r.Service)
+	s, rejection := d.admit(r.Service)
 	if s == nil {
-		return countAnswer(refusal)
+		return countAnswer(rejection)
 	}
 	defer d.pending.Done()
 	counters.Add(countRequests, 1)
@@ -79,7 +79,7 @@
 	}
 }
 
-// admit adds a request to pending and returns its service, or a refusal if the service is
+// admit adds a request to pending and returns its service, or a rejection if the service is
 // unknown or the dispatcher is stopping.
 func (d *Dispatcher) admit(name fleet.Service) (*service, exchange.Answer) {
 	d.mu.RLock()
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -6,7 +6,7 @@
 //   - Execute returns exactly one answer, no later than the request's deadline plus the
 //     time to close a connection.
 //   - An answer owns its bytes and is complete: one that is cut off, is not valid HTTP, has
-//     neither a length nor a last chunk, or exceeds the size limit is replaced by a refusal
+//     neither a length nor a last chunk, or exceeds the size limit is replaced by a rejection
 //     with its own result code.
 //   - A connection carries one request at a time. It is reused only after a complete answer
 //     with no bytes after it, so a late answer never reaches another request.
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -124,7 +124,7 @@
 }
 
 // observable reports whether an attempt is evidence about its endpoint's health. An attempt
-// that was cancelled because its hedge answered first is: it took at least that long.
+// that was cancelled because its hedge answered first counts: it took at least that long.
 func observable(e routing.Dispatch, o outcome, superseded bool) bool {
 	switch o.result {
 	case routing.AttemptSucceeded, routing.AttemptServerError:
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -45,7 +45,7 @@
 type Config struct {
 	Listen         string // IP address and port.
 	MaxBodyBytes   int
-	MaxInFlight    int64         // New requests are refused above this many unanswered ones; 0 for no limit.
+	MaxInFlight    int64         // New requests are rejected above this many unanswered ones; 0 for no limit.
 	MaxHeaderBytes int           // Largest request head; 0 for defaultMaxHeaderBytes.
 	MaxConnections int           // Of callers; 0 for fasthttp's default.
 	IdleTimeout    time.Duration // Of callers' connections; 0 for defaultIdleTimeout.
@@ -131,7 +131,8 @@
 	return s.served.Load()
 }
 
-// IdleTime returns the time since the last request ended, or zero while one is in flight.
+// IdleTime returns the time since the last request ended, or since the start before the first one. It
+// returns zero while a request is in flight.
 func (s *Server) IdleTime() time.Duration {
 	if s.inFlight.Load() > 0 {
 		return 0
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -74,7 +74,7 @@
 }
 
 // RejectAttempt returns the answer that rejects the request before it was claimed or sent: an
-// AttemptRejection if it has an idempotency key and is not idempotent anyway, a Rejection otherwise.
+// AttemptRejection if it has an idempotency key and Idempotent is not set, a Rejection otherwise.
 func (r Request) RejectAttempt(code result.Code, detail string) Answer {
 	if r.Key != "" && !r.Idempotent {
 		return AttemptRejection(code, detail)
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -31,7 +31,7 @@
 	outcomeIncomplete: "broken", outcomeTimedOut: "timed-out", outcomeCallerLeft: "caller-left",
 }
 
-func (e outcome) String() string { return outcomeNames[e] }
+func (o outcome) String() string { return outcomeNames[o] }
 
 // attempt is one try to send a request to one endpoint.
 type attempt struct {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -347,8 +347,8 @@
 	}
 }
 
-// An endpoint that accepts idempotent requests and never answers is hedged around. A request that is
-// not idempotent is never hedged.
+// An endpoint that accepts idempotent requests and never answers is hedged at another endpoint. A
+// request that is not idempotent is never hedged.
 func TestSlowIdempotentRequestIsHedged(t *testing.T) {
 	hanging := startUpstream(t, func(_ int, _ *fasthttp.Request, c net.Conn) bool {
 		time.Sleep(testTimeout)
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -74,7 +74,8 @@
 }
 
 // finishStream waits until a streamed answer is written, or until ctx, the request's context, ends,
-// and records the result with the dispatcher. An answer that is not delivered ends with ctx.
+// and records the result with the dispatcher. The stream of an answer that is not delivered is never
+// closed, so its wait ends with ctx.
 func (f *Forwarder) finishStream(ctx context.Context, a *attempt) {
 	select {
 	case <-a.stream.closed:
--- a/internal/gateway/apply.go
+++ b/internal/gateway/apply.go
@@ -55,8 +55,9 @@
 	c.finishUpdate(now, at, changed)
 }
 
-// setQuiet sets whether changes of registrations go unlogged: those of the first read always do.
-// Later ones are logged by the followers of the store alone, so that a zone logs each once or twice.
+// setQuiet sets whether changes of registrations go unlogged. The first full read logs none, and later
+// full reads log theirs. Other changes are logged by the followers of the store alone, so that a zone
+// logs each once or twice.
 func (c *control) setQuiet(on bool) {
 	c.registry.quiet, c.members.quiet = on, on
 }
@@ -87,17 +88,18 @@
 }
 
 // handleMissing handles an upstream's registration that was missing in a full read, and reports
-// whether the endpoints changed. The registration may have expired in an outage of the store, whose
-// end is taken as the time when another instance was first ahead of this one, or else as now.
+// whether the endpoints changed. It removes the upstream, unless the store has failed lately: then the
+// registration may have expired in the outage. The end of the outage is taken as the time when another
+// instance was first ahead of this one, or else as now.
 func (c *control) handleMissing(now time.Time, key string) bool {
 	if !c.storeFailing(now) {
 		return c.registry.remove(key)
 	}
-	back := now
+	availableSince := now
 	if !c.firstBehind.IsZero() {
-		back = c.firstBehind
+		availableSince = c.firstBehind
 	}
-	return c.registry.markMissing(back, key)
+	return c.registry.markMissing(availableSince, key)
 }
 
 // handleDeleted applies the deletion of one key, and reports whether the endpoints changed.
--- a/internal/gateway/broker_test.go
+++ b/internal/gateway/broker_test.go
@@ -128,7 +128,8 @@
 }
 
 // Guards against requests that hang or run twice while every endpoint is full or failing: each
-// placement request gets a reply, and an unsafe request is sent at most once.
+// placement request gets a reply, and a request that is not idempotent is sent at most
+// once.
 func TestEveryPlacementRequestIsAnswered(t *testing.T) {
 	fleet, all := startBrokeredFleet(t, "aaabbb")
 	good, bad := fleet.startUpstream("i-good", "orders"), fleet.startUpstream("i-bad", "orders")
--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -94,7 +94,7 @@
 	c.sendChanges(b, c.snapshot.Load().alive...)
 }
 
-// sendChanges sends a batch to those of some instances that are in this zone.
+// sendChanges sends a batch to those of the given instances that are in this zone.
 func (c *control) sendChanges(b changeBatch, to ...*member) {
 	datagrams, err := b.datagrams()
 	if err != nil {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -73,7 +73,7 @@
 	knownRevision     atomic.Uint64 // Copy of revision for other goroutines.
 	upToDate          atomic.Bool   // No other instance has reported a later revision of the store.
 	shouldFollow      atomic.Bool   // This instance has to follow the store itself.
-	preferredFollower atomic.Bool   // It would have to if the store rejected no instance.
+	preferredFollower atomic.Bool   // This instance would have to follow the store if the store rejected none.
 
 	brokerTimeouts atomic.Int64 // Placement requests that a broker did not answer in time.
 
@@ -86,10 +86,10 @@
 	synced          bool // All keys of the store were read at least once.
 	revision        platform.Revision
 	lastStoreError  time.Time // Time of the last failed call of the store.
-	behindSince     time.Time // When another instance reported a later revision, or the last attempt to catch up; zero while up to date.
+	behindSince     time.Time // When a later revision was reported, forwarded or last requested from a follower; zero while up to date, and after a read of the store was requested.
 	resendRequested bool      // A follower was sent a resendRequest for the missing changes.
 	history         history   // Store changes that this instance forwarded or received lately.
-	firstBehind     time.Time // Like behindSince, but not reset by attempts to catch up.
+	firstBehind     time.Time // When another instance first reported a later revision; zero while up to date.
 	followPolicy    *following.Machine
 	following       bool // This instance follows the store, and its last call succeeded.
 	placement       placementClient
@@ -169,8 +169,8 @@
 	}
 }
 
-// collectReports takes over the machine's new events, and sends them once the command queue is
-// empty or a message is full.
+// collectReports adds the machine's new events to the reports, and sends these once the command queue
+// is empty or a message is full. In a brokered fleet it drops the events.
 func (c *control) collectReports() {
 	events, urgent := c.machine.TakeReports()
 	if c.brokered() {
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// addrsOf returns the datagram addresses of some instances, without this one.
+// addrsOf returns the datagram addresses of the given instances, without this one.
 func (c *control) addrsOf(list []broker.Instance) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, i := range list {
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -86,7 +86,7 @@
 	delayAfterError := initialRetryDelay
 	var at platform.Revision
 	sleep(ctx, f.wait)
-	synced, answered := false, false // answered: the store has answered since this instance began to follow it.
+	synced, answered := false, false // answered: the previous iteration ended without an error.
 	for ctx.Err() == nil {
 		at = max(at, platform.Revision(f.control.knownRevision.Load()))
 		var err error
--- a/internal/gateway/fragment.go
+++ b/internal/gateway/fragment.go
@@ -49,7 +49,7 @@
 	return frag.Count >= 1 && frag.Count <= maxFragments && frag.Index >= 0 && frag.Index < frag.Count
 }
 
-// reassembler joins fragments to batches: of each sender only its newest batch.
+// reassembler reassembles batches from fragments. Of each sender it keeps only the newest batch.
 type reassembler struct {
 	partial map[dispatch.PeerID]*partialBatch
 }
@@ -61,6 +61,7 @@
 }
 
 // maxSenders bounds the batches that are reassembled at a time. Only a zone's followers send any.
+// A fragment of a further sender discards all incomplete batches.
 const maxSenders = 8
 
 // add adds a fragment and returns the encoded batch once it is complete, else nil.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 
 // New reads the settings file at path and opens the listeners. Logs are written to out.
 func New(path string, out io.Writer) (*Gateway, error) {
-	settingsModified := modified(path) // Taken before the read, so that a change during it triggers a reload.
+	settingsModified := modTime(path) // Taken before the read, so that a change during it triggers a reload.
 	s, err := LoadSettings(path)
 	if err != nil {
 		return nil, err
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -46,26 +46,26 @@
 	s := h.control.snapshot.Load()
 	id := platform.RequestID(&r.HTTP.Header)
 	if s.router == nil {
-		h.refuse(r, id, resp, result.CodeNotReady, "", startingRetryAfter)
+		h.rejectAndLog(r, id, resp, result.CodeNotReady, "", startingRetryAfter)
 		return
 	}
 	if s.mayBeStale(time.Now()) {
-		h.refuse(r, id, resp, result.CodeNotReady, "the process has stood still", startingRetryAfter)
+		h.rejectAndLog(r, id, resp, result.CodeNotReady, "the process has stood still", startingRetryAfter)
 		return
 	}
 	uri := string(r.HTTP.Header.RequestURI())
 	host := string(r.HTTP.Header.Host())
 	route, ok := s.router.find(host, uri)
 	if !ok {
-		h.refuse(r, id, resp, result.CodeNoRoute, "host "+host+", version "+s.Version.String(), 0)
+		h.rejectAndLog(r, id, resp, result.CodeNoRoute, "host "+host+", version "+s.Version.String(), 0)
 		return
 	}
 	if len(route.Split) == 0 {
-		h.refuse(r, id, resp, result.CodeNoEndpoint, "route "+route.Name+" is not understood", unsupportedRouteRetryAfter)
+		h.rejectAndLog(r, id, resp, result.CodeNoEndpoint, "route "+route.Name+" is not understood", unsupportedRouteRetryAfter)
 		return
 	}
 	in := forward.Request{
-		ID: id, Route: route, Service: pick(route.Split), HTTP: r.HTTP, Arrived: r.Arrived,
+		ID: id, Route: route, Service: pickService(route.Split), HTTP: r.HTTP, Arrived: r.Arrived,
 		Deadline: r.Arrived.Add(route.Timeout),
 	}
 	if left, ok := platform.TimeLeft(&r.HTTP.Header); ok && left < route.Timeout {
@@ -76,14 +76,14 @@
 	h.logRequest(ctx, &in, s, report)
 }
 
-func (h *handler) refuse(r callers.Request, id string, resp *fasthttp.Response, code result.Code, detail string, retryAfter time.Duration) {
+func (h *handler) rejectAndLog(r callers.Request, id string, resp *fasthttp.Response, code result.Code, detail string, retryAfter time.Duration) {
 	forward.Reject(resp, id, code, detail, retryAfter)
 	h.metrics.recordAnswer(code, time.Since(r.Arrived))
 	h.log.Info("request", "request", id, "code", code, "detail", detail, "host", string(r.HTTP.Header.Host()), "uri", string(r.HTTP.Header.RequestURI()))
 }
 
-// logRequest logs a request that the settings ask for: all, or those that an upstream didn't answer
-// without a server error at the first attempt.
+// logRequest logs a request if the settings ask for it: all requests, or those that were rejected, got
+// a server error or took more than one attempt.
 func (h *handler) logRequest(ctx context.Context, r *forward.Request, s *Snapshot, report forward.Report) {
 	unremarkable := report.Code == result.CodeAnswered && report.Status < fasthttp.StatusInternalServerError && len(report.Attempts) == 1
 	if unremarkable && !h.logAll() {
--- a/internal/gateway/incident_test.go
+++ b/internal/gateway/incident_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Guards against cancelling or repeating an unsafe request whose upstream loses its registration while
-// it works on the request.
+// Guards against cancelling or repeating a request that is not idempotent, whose upstream loses its
+// registration while it works on the request.
 func TestRequestAtDeregisteredUpstreamIsNotRetried(t *testing.T) {
 	fleet := newTestFleet(t)
 	in := fleet.startInstance("one", "a")
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -145,13 +145,14 @@
 	}
 }
 
-// isAlive reports whether an instance has sent a message within silenceTimeout, or has joined too
-// recently to have sent one.
+// isAlive reports whether an instance was seen within silenceTimeout, by a message of its own or in a
+// coordinator's report, or has joined too recently for that.
 func (e *member) isAlive(now time.Time) bool {
 	return now.Sub(e.joined) <= silenceTimeout || now.Sub(e.lastSeen) <= silenceTimeout
 }
 
-// isSilent reports whether a coordinator's report lists the instance as silent.
+// isSilent reports whether a coordinator has to report the instance as silent: it is leaving, or was
+// not seen within followerTimeout and joined longer than silenceTimeout ago.
 func (e *member) isSilent(now time.Time) bool {
 	fresh := now.Sub(e.joined) <= silenceTimeout
 	return e.leaving || !fresh && now.Sub(e.lastSeen) > followerTimeout
@@ -164,7 +165,7 @@
 	}
 }
 
-// drop removes an instance.
+// drop deletes an instance, also one that still sends messages.
 func (m *members) drop(key string) {
 	if e := m.byKey[key]; e != nil {
 		delete(m.byPeer, e.Peer)
@@ -172,7 +173,8 @@
 	}
 }
 
-// zonePeers returns the other instances of this zone that are alive and not leaving.
+// zonePeers returns the other instances of this zone that were seen within followerTimeout and are not
+// leaving.
 func (m *members) zonePeers(now time.Time) []following.Peer {
 	var peers []following.Peer
 	for key, e := range m.byKey {
@@ -193,8 +195,8 @@
 	}
 }
 
-// isolated reports whether fewer than half of the other instances have sent a message within
-// silenceTimeout. Then the problem may be this instance's own, and silence is no evidence against another.
+// isolated reports whether fewer than half of the other instances were seen within silenceTimeout.
+// Then the problem may be this instance's own, and silence is no evidence against another.
 func (m *members) isolated(now time.Time) bool {
 	seen := 0
 	for _, e := range m.byKey {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// send sends a datagram to some instances. Errors are ignored: later reports cover a loss.
+// send sends a datagram to the given addresses. Errors are ignored: later reports cover a loss.
 func (p *peerSocket) send(data []byte, to []netip.AddrPort) {
 	for _, addr := range to {
 		_, _ = p.conn.WriteToUDPAddrPort(data, addr)
@@ -135,6 +135,7 @@
 	}
 }
 
+// pickOne returns a random address, as a slice.
 func pickOne(list []netip.AddrPort) []netip.AddrPort {
 	return list[rand.IntN(len(list)):][:1]
 }
--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -79,10 +79,11 @@
 	return true
 }
 
-// markMissing marks an upstream whose registration is missing since the store was available again.
+// markMissing marks an upstream whose registration is missing although the store is available again
+// since the given time.
 // It stays in use until expire, as it may register again; a draining one is removed at once. The
 // result reports whether the endpoints changed.
-func (r *registry) markMissing(back time.Time, key string) bool {
+func (r *registry) markMissing(availableSince time.Time, key string) bool {
 	e := r.entries[key]
 	if e == nil {
 		return false
@@ -91,7 +92,7 @@
 		return r.remove(key)
 	}
 	if e.missingSince.IsZero() {
-		e.missingSince = back
+		e.missingSince = availableSince
 		r.log.Info("upstream registration missing after a store outage; keeping the upstream for a grace period", "upstream", e.ID, "service", e.Service)
 	}
 	return false
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -22,14 +22,14 @@
 			signalled = true
 		case <-ticker.C:
 		}
-		if at := modified(g.path); signalled || !at.Equal(g.settingsModified) {
+		if at := modTime(g.path); signalled || !at.Equal(g.settingsModified) {
 			g.settingsModified = at
 			g.reload(signalled)
 		}
 	}
 }
 
-func modified(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -48,20 +48,20 @@
 	return strings.ToLower(host)
 }
 
-// pick returns a random service, by the weights.
-func pick(parts []platform.WeightedService) string {
-	if len(parts) == 1 {
-		return parts[0].Service
+// pickService returns a random service, by the weights.
+func pickService(split []platform.WeightedService) string {
+	if len(split) == 1 {
+		return split[0].Service
 	}
 	total := 0
-	for _, p := range parts {
+	for _, p := range split {
 		total += p.Weight
 	}
 	n := rand.IntN(total)
-	for _, p := range parts {
+	for _, p := range split {
 		if n -= p.Weight; n < 0 {
 			return p.Service
 		}
 	}
-	return parts[len(parts)-1].Service
+	return split[len(split)-1].Service
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// stopMargin is how long before the promised time a planned stop ends.
+	// stopMargin is how long before the end of promises.stop_within a planned stop ends.
 	stopMargin = 400 * time.Millisecond
 	// staleTTLs is the number of discovery TTLs for which callers may use a discovery answer.
 	staleTTLs = 3
@@ -19,7 +19,7 @@
 )
 
 // stop makes the planned stop: it takes the instance out of discovery, serves the callers that
-// still connect, and returns when all requests are answered or the promised time is nearly over.
+// still connect, and returns when all requests are answered or promises.stop_within is nearly over.
 func (g *Gateway) stop() error {
 	s := g.current()
 	began := time.Now()
--- a/internal/gateway/unit_test.go
+++ b/internal/gateway/unit_test.go
@@ -40,7 +40,7 @@
 	n := 0
 	const draws = 20_000
 	for range draws {
-		if pick(parts) == "b" {
+		if pickService(parts) == "b" {
 			n++
 		}
 	}
--- a/internal/httpconn/receive.go
+++ b/internal/httpconn/receive.go
@@ -110,7 +110,7 @@
 	return b.size >= 0 && b.read < b.size || b.chunked && b.limiter.eof
 }
 
-// bufferBytes reads up to limit bytes of the body and reports whether that is all of it.
+// buffer reads up to limit bytes of the body and reports whether that is all of it.
 func (b *Body) buffer(limit int) (complete bool, err error) {
 	buf := make([]byte, 0, min(limit, initialBufferBytes))
 	for len(buf) < limit {
